--- a/src/core/claims/asking.cpp
+++ b/src/core/claims/asking.cpp
@@ -29,13 +29,13 @@
 // The host that should be the steward of a key's home.
 host_id steward_of(const claims_step& step, const claim_home& home)
 {
-    const pledge_state& pledges = step.inputs.rates.pledges;
+    const weight_lease_state& weight_leases = step.inputs.rates.weight_leases;
     if (home.data_centre == step.state.settings.data_centre)
     {
-        const host_id heard = pledges.heard[home.shard].steward;
-        return heard != host_id::none && is_alive(step, heard)
-                   ? heard
-                   : pledges.winners[home.shard];
+        const host_id observed = weight_leases.observed[home.shard].steward;
+        return observed != host_id::none && is_alive(step, observed)
+                   ? observed
+                   : weight_leases.winners[home.shard];
     }
     std::vector<host_id> hosts;
     for (const auto& [host, entry] : step.inputs.members.members)
--- a/src/core/claims/claims.cpp
+++ b/src/core/claims/claims.cpp
@@ -108,11 +108,12 @@
 std::string claims_issue_ticket(
     claims_state& state, const claims_inputs& inputs, random_source& random)
 {
-    const auto& heard = inputs.rates.pledges.heard;
+    const auto& observed = inputs.rates.weight_leases.observed;
     std::vector<std::uint32_t> shards;
     for (std::uint32_t shard = 0; shard < shard_count; ++shard)
     {
-        if (heard[shard].epoch != 0 && heard[shard].steward != host_id::none)
+        if (observed[shard].epoch != 0 &&
+            observed[shard].steward != host_id::none)
         {
             shards.push_back(shard);
         }
@@ -123,8 +124,8 @@
     }
     const std::uint32_t shard = shards[random_below(random, shards.size())];
     return to_string(claim_ticket{
-        state.settings.data_centre, shard, heard[shard].epoch,
-        heard[shard].generation, random()});
+        state.settings.data_centre, shard, observed[shard].epoch,
+        observed[shard].generation, random()});
 }
 
 bool claims_accept_at_gate(
--- a/src/core/claims/records.cpp
+++ b/src/core/claims/records.cpp
@@ -1,7 +1,7 @@
 #include "core/claims/records.hpp"
 
 #include "core/claims/key.hpp"
-#include "core/rates/terms.hpp"
+#include "core/rates/lease_terms.hpp"
 
 #include <algorithm>
 
@@ -66,7 +66,7 @@
     {
         return novelty_of_time(view, *issued_ms, since, now);
     }
-    const bool waited = now - since >= giver_term(view.retention);
+    const bool waited = now - since >= grantor_term(view.retention);
     return waited ? key_novelty::certain : key_novelty::uncertain;
 }
 
@@ -96,8 +96,7 @@
         return {
             claim_status::granted,
             record.claim_id,
-            std::max(
-                duration::zero(), receiver_term(record.term_ends_at - now)),
+            std::max(duration::zero(), holder_term(record.term_ends_at - now)),
             {}};
     }
     return {claim_status::in_progress, 0, {}, {}};
@@ -143,7 +142,7 @@
                       (static_cast<std::uint64_t>(view.shard) << 24) |
                       (++records.last_number & number_mask);
     record.granted_at = now;
-    record.term_ends_at = now + giver_term(view.claim_term);
+    record.term_ends_at = now + grantor_term(view.claim_term);
     const std::uint64_t claim_id = record.claim_id;
     records.entries.emplace(name, std::move(record));
     return {claim_status::granted, claim_id, view.claim_term, {}};
--- a/src/core/claims/records.hpp
+++ b/src/core/claims/records.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "core/claims/claim.hpp"
-#include "core/rates/pledges.hpp"
+#include "core/rates/weight_leases.hpp"
 
 #include <cstdint>
 #include <map>
@@ -61,7 +61,7 @@
 // What the steward knows while it decides.
 struct claim_view
 {
-    steward_office office;
+    steward_lease office;
     // When this data centre became the home of the keys that are hashed to it.
     time_point home_since{};
     data_centre_id data_centre = data_centre_id::none;
--- a/src/core/claims/steward.cpp
+++ b/src/core/claims/steward.cpp
@@ -56,8 +56,8 @@
     claims_state& state = step.state;
     follow_homes(step);
     const claim_home home = home_of(step.inputs.current, in.key);
-    const steward_office office =
-        rates_office(step.inputs.rates, home.shard, step.now);
+    const steward_lease office =
+        rates_steward_lease(step.inputs.rates, home.shard, step.now);
     wire_claims::answer_data answer;
     answer.token = in.token;
     if (home.data_centre != state.settings.data_centre || office.epoch == 0)
--- a/src/core/rates/demand_shares.cpp
+++ b/src/core/rates/demand_shares.cpp
@@ -1,6 +1,6 @@
 #include "core/rates/demand_shares.hpp"
 
-#include "core/rates/step.hpp"
+#include "core/rates/rates_context.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -14,66 +14,68 @@
 
 // How fast the measured demand follows the arrivals: fast where there are many,
 // and over more time where chance decides how many come in a second.
-constexpr duration shortest_memory = 1s;
-constexpr duration longest_memory = 4s;
+constexpr duration min_averaging_time = 1s;
+constexpr duration max_averaging_time = 4s;
 // So many arrivals are remembered, which bounds the error by chance to about a
 // quarter.
-constexpr double remembered_arrivals = 16.0;
+constexpr double averaged_arrivals = 16.0;
 constexpr duration sample_interval = 100ms;
 // Demand that every host is taken to have, so that one without callers lately
 // can serve the next at once: a part of the rate divided by the hosts.
 constexpr double assumed_demand = 0.15;
 
 // Seconds.
-double memory_of(double demand)
+double averaging_time(double demand)
 {
     return std::clamp(
-        remembered_arrivals / std::max(demand, 1e-3),
-        to_seconds(shortest_memory), to_seconds(longest_memory));
+        averaged_arrivals / std::max(demand, 1e-3),
+        to_seconds(min_averaging_time), to_seconds(max_averaging_time));
 }
 
-void sample_own_demand(rates_step& step)
+void sample_own_demand(rates_context& context)
 {
-    demand_share_state& demand = step.state.demand;
-    const double elapsed = to_seconds(step.now - demand.sampled_at);
-    demand.sampled_at = step.now;
-    for (const auto& [id, workspace] : step.state.workspaces)
+    demand_share_state& demand = context.state.demand;
+    const double elapsed = to_seconds(context.now - demand.sampled_at);
+    demand.sampled_at = context.now;
+    for (const auto& [id, workspace] : context.state.workspaces)
     {
         const double arrivals =
-            sample_demand(step.inputs.limiter, id, step.now).arrivals;
+            sample_demand(context.inputs.limiter, id, context.now).arrivals;
         double& known = demand.own[id];
-        const double kept = std::exp(-elapsed / memory_of(known));
+        const double kept = std::exp(-elapsed / averaging_time(known));
         known =
             kept * known + (1.0 - kept) * arrivals / std::max(elapsed, 1e-3);
     }
     std::erase_if(
         demand.own,
-        [&step](const auto& entry)
+        [&context](const auto& entry)
         {
-            return !step.state.workspaces.contains(entry.first);
+            return !context.state.workspaces.contains(entry.first);
         });
 }
 
-// Hosts that may be serving callers, heard from or not; without this one.
-std::size_t count_other_hosts(const rates_step& step)
+// Hosts that may be serving callers, reporting_hosts from or not; without this
+// one.
+std::size_t count_other_hosts(const rates_context& context)
 {
     return static_cast<std::size_t>(std::ranges::count_if(
-        step.inputs.members.members,
-        [&step](const auto& entry)
+        context.inputs.members.members,
+        [&context](const auto& entry)
         {
             const member& known = entry.second;
-            const bool lately = step.now - known.changed_at < dead_host_time;
+            const bool lately =
+                context.now - known.changed_at < dead_host_timeout;
             return known.state == member_state::alive ||
                    known.state == member_state::suspect ||
                    (known.state == member_state::dead && lately);
         }));
 }
 
-void forget_departed(rates_step& step)
+void drop_departed_peers(rates_context& context)
 {
-    const auto& members = step.inputs.members.members;
+    const auto& members = context.inputs.members.members;
     std::erase_if(
-        step.state.demand.peers,
+        context.state.demand.peers,
         [&members](const auto& entry)
         {
             const auto found = members.find(entry.first);
@@ -82,24 +84,24 @@
         });
 }
 
-void report_demand(rates_step& step)
+void report_demand(rates_context& context)
 {
-    demand_share_state& demand = step.state.demand;
-    if (step.now < demand.next_report_at)
+    demand_share_state& demand = context.state.demand;
+    if (context.now < demand.next_report_at)
     {
         return;
     }
-    demand.next_report_at = step.now + demand_report_interval;
+    demand.next_report_at = context.now + demand_report_interval;
     wire_rates::message_data message;
     wire_rates::demand_report_data report;
-    demand.told.clear();
+    demand.reported.clear();
     for (const auto& [id, per_second] : demand.own)
     {
         // Small demands are covered by the assumed one.
-        constexpr double least_reported = 0.05;
-        if (per_second >= least_reported)
+        constexpr double min_reported_demand = 0.05;
+        if (per_second >= min_reported_demand)
         {
-            demand.told[id] = per_second;
+            demand.reported[id] = per_second;
             report.rows.emplace_back(
                 static_cast<std::uint64_t>(id), static_cast<float>(per_second));
         }
@@ -110,61 +112,63 @@
     const std::vector<std::uint8_t> payload(
         builder.GetBufferPointer(),
         builder.GetBufferPointer() + builder.GetSize());
-    for (const auto& [host, known] : step.inputs.members.members)
+    for (const auto& [host, known] : context.inputs.members.members)
     {
         if (known.state == member_state::alive ||
             known.state == member_state::suspect)
         {
-            step.actions.messages.push_back(
+            context.actions.messages.push_back(
                 {host, message_kind::rates, transport::datagram, payload});
         }
     }
 }
 
-void set_shares(rates_step& step)
+void set_shares(rates_context& context)
 {
-    const demand_share_state& demand = step.state.demand;
-    std::size_t heard = 1;
+    const demand_share_state& demand = context.state.demand;
+    std::size_t reporting_hosts = 1;
     demand_by_workspace others;
     for (const auto& [host, peer] : demand.peers)
     {
-        if (step.now - peer.heard_at > demand_report_timeout)
+        if (context.now - peer.received_at > demand_report_timeout)
         {
             continue;
         }
-        ++heard;
+        ++reporting_hosts;
         for (const auto& [id, per_second] : peer.per_second)
         {
             others[id] += per_second;
         }
     }
-    const std::size_t known = std::max(heard, count_other_hosts(step) + 1);
-    const bool is_newcomer =
-        step.now - demand.started_at < newcomer_time && heard == 1;
-    for (const auto& [id, workspace] : step.state.workspaces)
+    const std::size_t known =
+        std::max(reporting_hosts, count_other_hosts(context) + 1);
+    const bool is_starting_alone =
+        context.now - demand.started_at < startup_time && reporting_hosts == 1;
+    for (const auto& [id, workspace] : context.state.workspaces)
     {
         const double assumed =
             assumed_demand * workspace.rate / static_cast<double>(known);
-        const auto told = demand.told.find(id);
+        const auto reported = demand.reported.find(id);
         const double own_demand =
-            told == demand.told.end() ? 0.0 : told->second;
+            reported == demand.reported.end() ? 0.0 : reported->second;
         const double share =
-            is_newcomer
-                ? newcomer_share
+            is_starting_alone
+                ? startup_share
                 : demand_share(
                       {own_demand + assumed,
-                       others[id] + assumed * static_cast<double>(heard - 1),
-                       heard, known});
-        const auto [per_second, at_once] = spread_burst(
+                       others[id] +
+                           assumed * static_cast<double>(reporting_hosts - 1),
+                       reporting_hosts, known});
+        const auto [per_second, capacity] = spread_burst(
             workspace.rate, workspace.burst,
-            {step.state.settings.window, step.state.settings.overage,
-             step.state.settings.slack});
+            {context.state.settings.window, context.state.settings.overage,
+             context.state.settings.slack});
         // A bucket below one token would never fill.
         set_own_allowance(
-            step.inputs.limiter, id,
-            {share * per_second, std::max(1.0, share * at_once),
+            context.inputs.limiter, id,
+            {share * per_second, std::max(1.0, share * capacity),
              time_point::max()},
-            step.now);
+            context.now);
     }
 }
 
@@ -172,10 +176,10 @@
 
 double demand_share(const share_inputs& inputs)
 {
-    const double side = static_cast<double>(inputs.hosts_heard) /
+    const double side = static_cast<double>(inputs.hosts_reporting) /
                         static_cast<double>(inputs.hosts_known);
     const double all = inputs.own_demand + inputs.other_demand;
-    return all <= 0.0 ? side / static_cast<double>(inputs.hosts_heard)
+    return all <= 0.0 ? side / static_cast<double>(inputs.hosts_reporting)
                       : side * inputs.own_demand / all;
 }
 
@@ -201,34 +205,35 @@
         (1.0 - steady_part) * burst + allowed_error};
 }
 
-void keep_demand_shares(rates_step& step)
+void tick_demand_shares(rates_context& context)
 {
-    demand_share_state& demand = step.state.demand;
+    demand_share_state& demand = context.state.demand;
     if (demand.started_at == time_point{})
     {
-        demand.started_at = step.now;
-        demand.sampled_at = step.now;
+        demand.started_at = context.now;
+        demand.sampled_at = context.now;
     }
-    if (step.now - demand.sampled_at < sample_interval)
+    if (context.now - demand.sampled_at < sample_interval)
     {
         return;
     }
-    sample_own_demand(step);
-    forget_departed(step);
-    report_demand(step);
-    set_shares(step);
+    sample_own_demand(context);
+    drop_departed_peers(context);
+    report_demand(context);
+    set_shares(context);
 }
 
-time_point demand_due(const rates_state& state)
+time_point demand_shares_due(const rates_state& state)
 {
     return state.demand.sampled_at + sample_interval;
 }
 
 void on_demand_report(
-    rates_step& step, host_id from, const wire_rates::demand_report_data& in)
+    rates_context& context, host_id from,
+    const wire_rates::demand_report_data& in)
 {
-    peer_demand& peer = step.state.demand.peers[from];
-    peer.heard_at = step.now;
+    peer_demand& peer = context.state.demand.peers[from];
+    peer.received_at = context.now;
     peer.per_second.clear();
     for (const auto& row : in.rows)
     {
--- a/src/core/rates/demand_shares.hpp
+++ b/src/core/rates/demand_shares.hpp
@@ -12,7 +12,7 @@
 namespace cyclamenhold
 {
 
-struct rates_step;
+struct rates_context;
 struct rates_state;
 
 // Requests a second, by workspace.
@@ -20,16 +20,16 @@
 
 struct peer_demand
 {
-    time_point heard_at{};
+    time_point received_at{};
     demand_by_workspace per_second;
 };
 
 struct demand_share_state
 {
     demand_by_workspace own;
-    // What the others were told last. Shares go by this, so that all hosts
+    // What the others were reported last. Shares go by this, so that all hosts
     // divide by the same figures and their shares add up to one.
-    demand_by_workspace told;
+    demand_by_workspace reported;
     std::map<host_id, peer_demand> peers;
     time_point started_at{};
     time_point sampled_at{};
@@ -42,11 +42,11 @@
 // cut: six reports in a row were lost.
 constexpr duration demand_report_timeout = 3s;
 // A host that is held to be dead for so long serves nobody.
-constexpr duration dead_host_time = 20s;
+constexpr duration dead_host_timeout = 20s;
 // What a host that knows of no other may use of each rate until it has had
 // time to hear of them.
-constexpr double newcomer_share = 0.125;
-constexpr duration newcomer_time = 2s;
+constexpr double startup_share = 0.125;
+constexpr duration startup_time = 2s;
 
 // The part of a rate that a host may use.
 struct share_inputs
@@ -54,7 +54,7 @@
     double own_demand = 0.0;
     // Of the other hosts that were heard lately.
     double other_demand = 0.0;
-    std::size_t hosts_heard = 1;
+    std::size_t hosts_reporting = 1;
     std::size_t hosts_known = 1;
 };
 [[nodiscard]] double demand_share(const share_inputs& inputs);
@@ -66,7 +66,7 @@
 struct spread_rate
 {
     double per_second = 0.0;
-    double at_once = 0.0;
+    double capacity = 0.0;
 };
 struct rate_tolerance
 {
@@ -78,7 +78,7 @@
 [[nodiscard]] spread_rate
 spread_burst(double rate, double burst, const rate_tolerance& tolerance);
 
-void keep_demand_shares(rates_step& step);
-[[nodiscard]] time_point demand_due(const rates_state& state);
+void tick_demand_shares(rates_context& context);
+[[nodiscard]] time_point demand_shares_due(const rates_state& state);
 
 } // namespace cyclamenhold
--- a/src/core/rates/lending.cpp
+++ b/src/core/rates/lending.cpp
@@ -1,6 +1,6 @@
 #include "core/rates/lending.hpp"
 
-#include "core/rates/terms.hpp"
+#include "core/rates/lease_terms.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -11,13 +11,13 @@
 {
 
 constexpr double token_epsilon = 1e-9;
-constexpr double smallest_loan = 0.01;
+constexpr double min_loan_tokens = 0.01;
 // A borrowed lot that ends sooner is not lent on.
-constexpr duration least_useful_term = 100ms;
+constexpr duration min_lendable_term = 100ms;
 // A lender keeps what its own data centre used in this time.
 constexpr duration reserve_time = 100ms;
 constexpr duration rate_window = 200ms;
-constexpr duration unmet_time = 200ms;
+constexpr duration unmet_demand_lifetime = 200ms;
 
 double own_lendable(const lender_bucket& bucket, const lending_limits& limits)
 {
@@ -25,10 +25,10 @@
     return std::max(0.0, std::min(bucket.tokens, room));
 }
 
-bool usable(const borrowed_lot& lot, time_point now)
+bool is_usable(const inbound_loan& lot, time_point now)
 {
     return !lot.closed && lot.tokens > 0.0 &&
-           lot.expires_at - now >= least_useful_term;
+           lot.expires_at - now >= min_lendable_term;
 }
 
 void sample_local_rate(lender_bucket& bucket, time_point now)
@@ -44,41 +44,41 @@
     bucket.rate_sampled_at = now;
 }
 
-borrowed_lot* find_lot(lender_bucket& bucket, std::uint64_t loan)
+inbound_loan* find_inbound_loan(lender_bucket& bucket, std::uint64_t loan)
 {
     const auto found =
-        std::ranges::find(bucket.lots, loan, &borrowed_lot::loan);
-    return found == bucket.lots.end() ? nullptr : &*found;
+        std::ranges::find(bucket.inbound_loans, loan, &inbound_loan::loan);
+    return found == bucket.inbound_loans.end() ? nullptr : &*found;
 }
 
 // Moves `resolved` of a loan's tokens out of "lent": borrowed parts first.
 // Used tokens are gone; the others go back to where they came from.
-void resolve(
-    lender_bucket& bucket, loan_record& record, double resolved, bool were_used)
+void settle_tokens(
+    lender_bucket& bucket, loan_record& record, double resolved, bool is_used)
 {
     for (auto& [loan, amount] : record.borrowed)
     {
         const double part = std::min(amount, resolved);
         amount -= part;
         resolved -= part;
-        borrowed_lot* const lot = find_lot(bucket, loan);
+        inbound_loan* const lot = find_inbound_loan(bucket, loan);
         if (lot == nullptr)
         {
             continue;
         }
         lot->lent_on = std::max(0.0, lot->lent_on - part);
-        (were_used ? lot->used : lot->tokens) += part;
+        (is_used ? lot->used : lot->tokens) += part;
     }
     const double part = std::min(record.own, resolved);
     record.own -= part;
     bucket.lent = std::max(0.0, bucket.lent - part);
-    if (!were_used)
+    if (!is_used)
     {
         bucket.tokens += part;
     }
 }
 
-double unresolved(const loan_record& record)
+double unsettled_tokens(const loan_record& record)
 {
     double amount = record.own;
     for (const auto& part : record.borrowed)
@@ -123,12 +123,12 @@
     {
         return {};
     }
-    loan_record record{to, amount, 0.0, {}, 0.0, now + giver_term(term)};
+    loan_record record{to, amount, 0.0, {}, 0.0, now + grantor_term(term)};
     duration offered = term;
     double left = amount;
-    for (auto& lot : bucket.lots)
+    for (auto& lot : bucket.inbound_loans)
     {
-        if (left <= 0.0 || !usable(lot, now))
+        if (left <= 0.0 || !is_usable(lot, now))
         {
             continue;
         }
@@ -137,7 +137,7 @@
         lot.lent_on += part;
         left -= part;
         record.borrowed.push_back({lot.loan, part});
-        offered = std::min(offered, receiver_term(lot.expires_at - now));
+        offered = std::min(offered, holder_term(lot.expires_at - now));
     }
     record.own = std::max(0.0, left);
     bucket.tokens = std::max(0.0, bucket.tokens - record.own);
@@ -155,14 +155,15 @@
     const double reserve = bucket.local_rate * to_seconds(reserve_time);
     const double amount =
         std::min(wanted, own_lendable(bucket, limits) - reserve);
-    if (amount < smallest_loan || unmet_wants(bucket, now) > 0.0)
+    if (amount < min_loan_tokens || sum_unmet_demand(bucket, now) > 0.0)
     {
         return {};
     }
     bucket.tokens -= amount;
     bucket.lent += amount;
     bucket.loans.emplace(
-        loan, loan_record{to, amount, amount, {}, 0.0, now + giver_term(term)});
+        loan,
+        loan_record{to, amount, amount, {}, 0.0, now + grantor_term(term)});
     return {amount, term};
 }
 
@@ -177,11 +178,11 @@
     }
     loan_record& record = found->second;
     used = std::clamp(used, record.used, record.amount);
-    resolve(bucket, record, used - record.used, true);
+    settle_tokens(bucket, record, used - record.used, true);
     record.used = used;
     if (closed)
     {
-        resolve(bucket, record, unresolved(record), false);
+        settle_tokens(bucket, record, unsettled_tokens(record), false);
         bucket.loans.erase(found);
     }
 }
@@ -196,16 +197,17 @@
             ++entry;
             continue;
         }
-        resolve(bucket, entry->second, unresolved(entry->second), true);
+        settle_tokens(
+            bucket, entry->second, unsettled_tokens(entry->second), true);
         entry = bucket.loans.erase(entry);
     }
     std::erase_if(
-        bucket.lots,
-        [now](const borrowed_lot& lot)
+        bucket.inbound_loans,
+        [now](const inbound_loan& lot)
         {
             return lot.expires_at <= now;
         });
-    for (auto& lot : bucket.lots)
+    for (auto& lot : bucket.inbound_loans)
     {
         const bool done =
             lot.tokens <= token_epsilon || lot.expires_at < close_before;
@@ -217,19 +219,19 @@
     const lender_bucket& bucket, const lending_limits& limits, time_point now)
 {
     double amount = own_lendable(bucket, limits);
-    for (const auto& lot : bucket.lots)
+    for (const auto& lot : bucket.inbound_loans)
     {
-        amount += usable(lot, now) ? lot.tokens : 0.0;
+        amount += is_usable(lot, now) ? lot.tokens : 0.0;
     }
     return amount;
 }
 
-double unmet_wants(lender_bucket& bucket, time_point now)
+double sum_unmet_demand(lender_bucket& bucket, time_point now)
 {
     double amount = 0.0;
     for (auto entry = bucket.unmet.begin(); entry != bucket.unmet.end();)
     {
-        if (entry->second.at + unmet_time <= now)
+        if (entry->second.at + unmet_demand_lifetime <= now)
         {
             entry = bucket.unmet.erase(entry);
             continue;
--- a/src/core/rates/lending.hpp
+++ b/src/core/rates/lending.hpp
@@ -14,7 +14,7 @@
 {
 
 // Tokens borrowed from another data centre, to be lent on.
-struct borrowed_lot
+struct inbound_loan
 {
     std::uint64_t loan = 0;
     host_id lender = host_id::none;
@@ -28,7 +28,7 @@
     bool closed = false;
 };
 
-struct borrowed_part
+struct inbound_loan_part
 {
     std::uint64_t loan = 0;
     double amount = 0.0;
@@ -40,12 +40,12 @@
     double amount = 0.0;
     // Of `amount`, what came from the bucket itself.
     double own = 0.0;
-    std::vector<borrowed_part> borrowed;
+    std::vector<inbound_loan_part> borrowed;
     double used = 0.0;
     time_point ends_at{};
 };
 
-struct unmet_want
+struct unmet_demand
 {
     double amount = 0.0;
     time_point at{};
@@ -58,14 +58,14 @@
     // Own tokens lent and not settled.
     double lent = 0.0;
     std::map<std::uint64_t, loan_record> loans;
-    std::vector<borrowed_lot> lots;
+    std::vector<inbound_loan> inbound_loans;
     // What hosts of this data centre asked for in vain, newest of each.
-    std::map<host_id, unmet_want> unmet;
+    std::map<host_id, unmet_demand> unmet;
     // Tokens a second lent within the data centre, smoothed.
     double local_rate = 0.0;
     double lent_since = 0.0;
     time_point rate_sampled_at{};
-    // When lenders were last told of the lots.
+    // When lenders were last told of the inbound_loans.
     time_point reported_at{};
 };
 
@@ -106,8 +106,8 @@
     lender_bucket& bucket, host_id from, std::uint64_t loan, double used,
     bool closed);
 
-// Ends loans and lots whose time has passed, and closes lots that end before
-// `close_before` and are not lent on.
+// Ends loans and inbound_loans whose time has passed, and closes inbound_loans
+// that end before `close_before` and are not lent on.
 void expire_loans(
     lender_bucket& bucket, time_point close_before, time_point now);
 
@@ -116,6 +116,6 @@
     const lender_bucket& bucket, const lending_limits& limits, time_point now);
 
 // Tokens that hosts lately asked for in vain.
-[[nodiscard]] double unmet_wants(lender_bucket& bucket, time_point now);
+[[nodiscard]] double sum_unmet_demand(lender_bucket& bucket, time_point now);
 
 } // namespace cyclamenhold
--- a/src/core/rates/loans.cpp
+++ b/src/core/rates/loans.cpp
@@ -1,7 +1,7 @@
 #include "core/rates/loans.hpp"
 
+#include "core/rates/rates_context.hpp"
 #include "core/rates/remote_loans.hpp"
-#include "core/rates/step.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -14,13 +14,13 @@
 namespace wire_rates = wire::rates;
 
 constexpr duration demand_window = 100ms;
-// A host asks for what it will need in this time.
-constexpr duration horizon = 100ms;
+// A host is_requesting for what it will need in this time.
+constexpr duration demand_horizon = 100ms;
 constexpr duration request_timeout = 150ms;
 constexpr duration report_interval = 20ms;
-constexpr duration shortest_retry = 5ms;
-constexpr duration longest_retry = 200ms;
-constexpr duration sent_kept = 3s;
+constexpr duration min_retry_delay = 5ms;
+constexpr duration max_retry_delay = 200ms;
+constexpr duration sent_request_lifetime = 3s;
 
 void sample_rate(workspace_demand& demand, double arrivals, time_point now)
 {
@@ -37,96 +37,100 @@
 }
 
 void set_allowance(
-    rates_step& step, std::uint32_t shard, workspace_id id,
+    rates_context& context, std::uint32_t shard, workspace_id id,
     const workspace& settings)
 {
-    const rates_state& state = step.state;
+    const rates_state& state = context.state;
     own_allowance allowance;
-    if (holds_own_weight(step, shard) && !state.leaving)
+    if (has_unleased_weight(context, shard) && !state.leaving)
     {
         const double weight =
             state.share /
-            static_cast<double>(weight_parts(state.hosts, step.now));
+            static_cast<double>(weight_parts(state.hosts, context.now));
         allowance = {
             settings.rate * weight, settings.burst * weight,
-            contact_until(step)};
+            contact_expires_at(context)};
     }
-    set_own_allowance(step.inputs.limiter, id, allowance, step.now);
+    set_own_allowance(context.inputs.limiter, id, allowance, context.now);
 }
 
-host_id steward_for(const rates_step& step, std::uint32_t shard)
+host_id steward_for(const rates_context& context, std::uint32_t shard)
 {
-    const auto& pledges = step.state.pledges;
-    const given_pledge& given = pledges.given[shard];
-    return given.ends_at > step.now ? given.to : pledges.winners[shard];
+    const auto& weight_leases = context.state.weight_leases;
+    const granted_weight_lease& granted = weight_leases.granted[shard];
+    return granted.ends_at > context.now ? granted.to
+                                         : weight_leases.winners[shard];
 }
 
-bool may_ask(const workspace_demand& demand, time_point now)
+bool is_request_due(const workspace_demand& demand, time_point now)
 {
     const bool under_way =
-        demand.request != 0 && now - demand.asked_at < request_timeout;
-    return !under_way && now >= demand.next_ask_at;
+        demand.request != 0 && now - demand.requested_at < request_timeout;
+    return !under_way && now >= demand.next_request_at;
 }
 
 // Adds what this host has to say about one workspace to the requests.
-void add_workspace(rates_step& step, loan_requests& requests, workspace_id id)
+void add_workspace(
+    rates_context& context, loan_requests& requests, workspace_id id)
 {
-    rates_state& state = step.state;
+    rates_state& state = context.state;
     const std::uint32_t shard = shard_of(id);
     workspace_demand& demand = state.loans.demand[id];
-    const auto sample = sample_demand(step.inputs.limiter, id, step.now);
-    sample_rate(demand, sample.arrivals, step.now);
+    const auto sample = sample_demand(context.inputs.limiter, id, context.now);
+    sample_rate(demand, sample.arrivals, context.now);
     state.loans.busy = state.loans.busy || sample.waiting > 0.0;
-    const double ahead = std::floor(demand.rate * to_seconds(horizon));
+    const double ahead = std::floor(demand.rate * to_seconds(demand_horizon));
     const double wanted = std::ceil(sample.waiting + ahead - sample.available);
-    const host_id steward = steward_for(step, shard);
-    const bool asks = wanted >= 1.0 && steward != host_id::none &&
-                      !state.leaving && may_ask(demand, step.now);
-    if (!asks && step.now - demand.reported_at < report_interval &&
+    const host_id steward = steward_for(context, shard);
+    const bool is_requesting = wanted >= 1.0 && steward != host_id::none &&
+                               !state.leaving &&
+                               is_request_due(demand, context.now);
+    if (!is_requesting && context.now - demand.reported_at < report_interval &&
         !state.leaving)
     {
         return;
     }
-    demand.reported_at = step.now;
+    demand.reported_at = context.now;
     const time_point close_before =
         state.leaving ? time_point::max()
-                      : step.now + state.settings.loan_term / 4;
-    for (const auto& [loan, lender, used, closed] :
-         report_lots(step.inputs.limiter, id, close_before, step.now))
+                      : context.now + state.settings.loan_term / 4;
+    for (const auto& [loan, lender, used, closed] : report_token_loans(
+             context.inputs.limiter, id, close_before, context.now))
     {
         add_settlement(
-            request_to(step, requests, lender, false), id, loan, used, closed);
+            request_to(context, requests, lender, false), id, loan, used,
+            closed);
     }
-    if (asks)
+    if (is_requesting)
     {
-        auto& request = request_to(step, requests, steward, false);
+        auto& request = request_to(context, requests, steward, false);
         add_item(request, id, wanted);
         demand.request = request.request;
-        demand.asked_at = step.now;
+        demand.requested_at = context.now;
     }
 }
 
-duration retry_time(double missing, double rate)
+duration retry_delay(double missing, double rate)
 {
     if (rate <= 0.0)
     {
-        return longest_retry;
+        return max_retry_delay;
     }
     return std::clamp(
-        from_seconds(missing / rate), duration(shortest_retry),
-        duration(longest_retry));
+        from_seconds(missing / rate), duration(min_retry_delay),
+        duration(max_retry_delay));
 }
 
 } // namespace
 
 wire_rates::loan_request_data& request_to(
-    rates_step& step, loan_requests& requests, host_id to,
+    rates_context& context, loan_requests& requests, host_id to,
     bool between_data_centres)
 {
     auto& request = requests[{to, between_data_centres}];
     if (request.request == 0)
     {
-        request.request = ++step.state.loans.last_request;
+        request.request = ++context.state.loans.last_request;
         request.between_data_centres = between_data_centres;
     }
     return request;
@@ -154,12 +158,12 @@
     request.settlements.push_back(std::move(settlement));
 }
 
-void send_requests(rates_step& step, loan_requests& requests)
+void send_requests(rates_context& context, loan_requests& requests)
 {
     for (auto& [key, request] : requests)
     {
-        sent_request& sent = step.state.loans.sent[request.request];
-        sent.asked_at = step.now;
+        sent_request& sent = context.state.loans.sent[request.request];
+        sent.requested_at = context.now;
         sent.between_data_centres = key.between_data_centres;
         for (const auto& settlement : request.settlements)
         {
@@ -170,48 +174,50 @@
                      settlement->loan});
             }
         }
-        send_rates_message(step, key.to, std::move(request));
+        send_rates_message(context, key.to, std::move(request));
     }
 }
 
-void set_allowances(rates_step& step)
+void set_allowances(rates_context& context)
 {
-    for (const auto& [id, settings] : step.state.workspaces)
+    for (const auto& [id, settings] : context.state.workspaces)
     {
-        set_allowance(step, shard_of(id), id, settings);
+        set_allowance(context, shard_of(id), id, settings);
     }
 }
 
-void keep_loans(rates_step& step)
+void tick_loans(rates_context& context)
 {
-    rates_state& state = step.state;
-    set_allowances(step);
+    rates_state& state = context.state;
+    set_allowances(context);
     state.loans.busy = false;
     std::erase_if(
         state.loans.sent,
-        [&step](const auto& entry)
+        [&context](const auto& entry)
         {
-            return step.now - entry.second.asked_at > sent_kept;
+            return context.now - entry.second.requested_at >
+                   sent_request_lifetime;
         });
     loan_requests requests;
     for (const auto& [id, settings] : state.workspaces)
     {
-        add_workspace(step, requests, id);
+        add_workspace(context, requests, id);
     }
-    keep_remote_loans(step, requests);
-    send_requests(step, requests);
+    tick_remote_loans(context, requests);
+    send_requests(context, requests);
 }
 
 void on_loan_request(
-    rates_step& step, host_id from, const wire_rates::loan_request_data& in)
+    rates_context& context, host_id from,
+    const wire_rates::loan_request_data& in)
 {
-    rates_state& state = step.state;
+    rates_state& state = context.state;
     wire_rates::loan_reply_data reply;
     reply.request = in.request;
     for (const auto& settlement : in.settlements)
     {
         const auto id = static_cast<workspace_id>(settlement->workspace);
-        auto& buckets = state.pledges.held[shard_of(id)].buckets;
+        auto& buckets = state.weight_leases.held[shard_of(id)].buckets;
         if (const auto found = buckets.find(id); found != buckets.end())
         {
             settle_loan(
@@ -223,8 +229,8 @@
     {
         const auto id = static_cast<workspace_id>(item->workspace);
         const std::uint32_t shard = shard_of(id);
-        stewardship& held = state.pledges.held[shard];
-        if (!is_lender(held, step.now) || state.leaving ||
+        stewardship& held = state.weight_leases.held[shard];
+        if (!is_lender(held, context.now) || state.leaving ||
             !state.workspaces.contains(id) || !std::isfinite(item->wanted))
         {
             reply.not_steward = true;
@@ -234,34 +240,34 @@
         lender_bucket& bucket = entry->second;
         if (added)
         {
-            bucket.refilled_at = step.now;
+            bucket.refilled_at = context.now;
         }
-        const auto limits = limits_of(step, shard, id);
+        const auto limits = limits_of(context, shard, id);
         const std::uint64_t loan = ++state.loans.last_loan;
         const loan_offer offer =
             in.between_data_centres
                 ? lend_to_data_centre(
                       bucket, limits, from, loan, item->wanted,
-                      state.settings.data_centre_loan_term, step.now)
+                      state.settings.data_centre_loan_term, context.now)
                 : lend_to_host(
                       bucket, limits, from, loan, item->wanted,
-                      state.settings.loan_term, step.now);
+                      state.settings.loan_term, context.now);
         auto grant = std::make_unique<wire_rates::loan_grant_data>();
         grant->workspace = item->workspace;
         grant->loan = loan;
         grant->amount = offer.amount;
         grant->term_us = to_microseconds(offer.term);
-        grant->retry_after_us = to_microseconds(
-            retry_time(1.0 - lendable(bucket, limits, step.now), limits.rate));
+        grant->retry_after_us = to_microseconds(retry_delay(
+            1.0 - lendable(bucket, limits, context.now), limits.rate));
         reply.grants.push_back(std::move(grant));
     }
-    send_rates_message(step, from, std::move(reply));
+    send_rates_message(context, from, std::move(reply));
 }
 
 void on_loan_reply(
-    rates_step& step, host_id from, const wire_rates::loan_reply_data& in)
+    rates_context& context, host_id from, const wire_rates::loan_reply_data& in)
 {
-    rates_state& state = step.state;
+    rates_state& state = context.state;
     const auto found = state.loans.sent.find(in.request);
     if (found == state.loans.sent.end())
     {
@@ -271,20 +277,21 @@
     state.loans.sent.erase(found);
     if (sent.between_data_centres)
     {
-        on_remote_loan_reply(step, from, sent, in);
+        on_remote_loan_reply(context, from, sent, in);
         return;
     }
     for (const auto& [workspace, loan] : sent.closed)
     {
-        forget_lot(step.inputs.limiter, workspace, loan);
+        drop_token_loan(context.inputs.limiter, workspace, loan);
     }
     for (auto& [id, demand] : state.loans.demand)
     {
         if (demand.request == in.request)
         {
             demand.request = 0;
-            demand.next_ask_at =
-                in.not_steward ? step.now + longest_retry / 4 : step.now;
+            demand.next_request_at = in.not_steward
+                                         ? context.now + max_retry_delay / 4
+                                         : context.now;
         }
     }
     for (const auto& grant : in.grants)
@@ -292,14 +299,14 @@
         const auto id = static_cast<workspace_id>(grant->workspace);
         if (grant->amount <= 0.0)
         {
-            state.loans.demand[id].next_ask_at =
-                step.now + from_microseconds(grant->retry_after_us);
+            state.loans.demand[id].next_request_at =
+                context.now + from_microseconds(grant->retry_after_us);
             continue;
         }
         const time_point expires_at =
-            sent.asked_at + from_microseconds(grant->term_us);
-        add_lot(
-            step.inputs.limiter, id,
+            sent.requested_at + from_microseconds(grant->term_us);
+        add_token_loan(
+            context.inputs.limiter, id,
             {grant->loan, from, grant->amount, 0.0, expires_at, 0.0, false});
     }
 }
--- a/src/core/rates/loans.hpp
+++ b/src/core/rates/loans.hpp
@@ -12,7 +12,7 @@
 namespace cyclamenhold
 {
 
-struct rates_step;
+struct rates_context;
 
 // What a host knows of its own demand for one workspace.
 struct workspace_demand
@@ -22,8 +22,8 @@
     double arrivals = 0.0;
     // The request under way, 0 when there is none.
     std::uint64_t request = 0;
-    time_point asked_at{};
-    time_point next_ask_at{};
+    time_point requested_at{};
+    time_point next_request_at{};
     time_point reported_at{};
 };
 
@@ -31,8 +31,8 @@
 struct remote_lender
 {
     std::uint64_t request = 0;
-    time_point asked_at{};
-    time_point next_ask_at{};
+    time_point requested_at{};
+    time_point next_request_at{};
     duration back_off{};
 };
 
@@ -56,7 +56,7 @@
 // A request to a lender that has not been answered.
 struct sent_request
 {
-    time_point asked_at{};
+    time_point requested_at{};
     bool between_data_centres = false;
     // Loans reported closed in it.
     std::vector<closed_loan> closed;
@@ -73,9 +73,9 @@
 };
 
 // Tells the limiter what this host's own weight is worth.
-void set_allowances(rates_step& step);
+void set_allowances(rates_context& context);
 
 // Sets the limiter's own allowances, reports loans and asks for more.
-void keep_loans(rates_step& step);
+void tick_loans(rates_context& context);
 
 } // namespace cyclamenhold
--- a/src/core/rates/rate_limiter.cpp
+++ b/src/core/rates/rate_limiter.cpp
@@ -1,6 +1,6 @@
 #include "core/rates/rate_limiter.hpp"
 
-#include "core/rates/terms.hpp"
+#include "core/rates/lease_terms.hpp"
 
 #include <algorithm>
 
@@ -32,7 +32,7 @@
 
 bool take_one(token_bucket& bucket, time_point now)
 {
-    for (auto& lot : bucket.lots)
+    for (auto& lot : bucket.token_loans)
     {
         if (!lot.closed && now < lot.expires_at &&
             lot.tokens >= 1.0 - token_epsilon)
@@ -83,7 +83,7 @@
 
 } // namespace
 
-token_answer refused_by_bucket(rate_limiter& limiter, workspace_id workspace)
+token_answer bucket_refusal(rate_limiter& limiter, workspace_id workspace)
 {
     const std::scoped_lock lock(limiter.mutex);
     const auto found = limiter.buckets.find(workspace);
@@ -124,8 +124,7 @@
     return {token_verdict::waiting};
 }
 
-void give_back_token(
-    rate_limiter& limiter, workspace_id workspace, time_point now)
+void return_token(rate_limiter& limiter, workspace_id workspace, time_point now)
 {
     const std::scoped_lock lock(limiter.mutex);
     const auto found = limiter.buckets.find(workspace);
@@ -158,7 +157,7 @@
 {
     const std::scoped_lock lock(limiter.mutex);
     token_results results;
-    results.expired.swap(limiter.orphans);
+    results.expired.swap(limiter.orphaned_waiters);
     for (auto& [workspace, bucket] : limiter.buckets)
     {
         std::deque<waiting_request> kept;
@@ -204,7 +203,7 @@
         }
         for (const auto& request : entry->second.waiters)
         {
-            limiter.orphans.push_back(request.waiter);
+            limiter.orphaned_waiters.push_back(request.waiter);
         }
         entry = limiter.buckets.erase(entry);
     }
@@ -228,13 +227,14 @@
     bucket.tokens = std::min(bucket.tokens, bucket.capacity);
 }
 
-void add_lot(rate_limiter& limiter, workspace_id workspace, token_lot lot)
+void add_token_loan(
+    rate_limiter& limiter, workspace_id workspace, token_loan lot)
 {
     const std::scoped_lock lock(limiter.mutex);
     if (const auto found = limiter.buckets.find(workspace);
         found != limiter.buckets.end())
     {
-        found->second.lots.push_back(lot);
+        found->second.token_loans.push_back(lot);
     }
 }
 
@@ -252,7 +252,7 @@
     refill(bucket, now);
     demand.waiting = static_cast<double>(bucket.waiters.size());
     demand.available = bucket.tokens;
-    for (const auto& lot : bucket.lots)
+    for (const auto& lot : bucket.token_loans)
     {
         if (!lot.closed && now < lot.expires_at)
         {
@@ -264,25 +264,25 @@
     return demand;
 }
 
-std::vector<lot_report> report_lots(
+std::vector<token_loan_report> report_token_loans(
     rate_limiter& limiter, workspace_id workspace, time_point close_before,
     time_point now)
 {
     const std::scoped_lock lock(limiter.mutex);
-    std::vector<lot_report> reports;
+    std::vector<token_loan_report> reports;
     const auto found = limiter.buckets.find(workspace);
     if (found == limiter.buckets.end())
     {
         return reports;
     }
-    auto& lots = found->second.lots;
+    auto& token_loans = found->second.token_loans;
     std::erase_if(
-        lots,
-        [now](const token_lot& lot)
+        token_loans,
+        [now](const token_loan& lot)
         {
             return lot.expires_at <= now;
         });
-    for (auto& lot : lots)
+    for (auto& lot : token_loans)
     {
         if (lot.tokens < 1.0 - token_epsilon || lot.expires_at < close_before)
         {
@@ -297,7 +297,7 @@
     return reports;
 }
 
-void forget_lot(
+void drop_token_loan(
     rate_limiter& limiter, workspace_id workspace, std::uint64_t loan)
 {
     const std::scoped_lock lock(limiter.mutex);
@@ -305,8 +305,8 @@
         found != limiter.buckets.end())
     {
         std::erase_if(
-            found->second.lots,
-            [loan](const token_lot& lot)
+            found->second.token_loans,
+            [loan](const token_loan& lot)
             {
                 return lot.loan == loan && lot.closed;
             });
--- a/src/core/rates/rate_limiter.hpp
+++ b/src/core/rates/rate_limiter.hpp
@@ -49,7 +49,7 @@
 };
 
 // Tokens lent to this node by a steward. Unused ones end with the loan.
-struct token_lot
+struct token_loan
 {
     std::uint64_t loan = 0;
     host_id lender = host_id::none;
@@ -78,7 +78,7 @@
     double capacity = 0.0;
     time_point refilled_at{};
     time_point valid_until = time_point::min();
-    std::vector<token_lot> lots;
+    std::vector<token_loan> token_loans;
     std::deque<waiting_request> waiters;
     // Requests that asked for a token since the control thread last looked.
     double arrivals = 0.0;
@@ -98,7 +98,7 @@
     bool has_loans = true;
     std::unordered_map<workspace_id, token_bucket> buckets;
     // Waiters of workspaces that have been deleted.
-    std::vector<token_waiter> orphans;
+    std::vector<token_waiter> orphaned_waiters;
     // Called without the mutex when a request began to wait; the adapter
     // lets the control thread tick soon. Set before the first request.
     std::function<void()> on_waiting;
@@ -114,10 +114,10 @@
 
 // The workspace's bucket, and when it has a token next.
 [[nodiscard]] token_answer
-refused_by_bucket(rate_limiter& limiter, workspace_id workspace);
+bucket_refusal(rate_limiter& limiter, workspace_id workspace);
 
 // A request that took a token has not run.
-void give_back_token(
+void return_token(
     rate_limiter& limiter, workspace_id workspace, time_point now);
 
 // A waiting request has gone.
@@ -155,7 +155,8 @@
     rate_limiter& limiter, workspace_id workspace,
     const own_allowance& allowance, time_point now);
 
-void add_lot(rate_limiter& limiter, workspace_id workspace, token_lot lot);
+void add_token_loan(
+    rate_limiter& limiter, workspace_id workspace, token_loan lot);
 
 // What the control thread needs to know to ask ahead.
 struct token_demand
@@ -170,7 +171,7 @@
 sample_demand(rate_limiter& limiter, workspace_id workspace, time_point now);
 
 // A lot whose lender has something new to learn.
-struct lot_report
+struct token_loan_report
 {
     std::uint64_t loan = 0;
     host_id lender = host_id::none;
@@ -178,15 +179,15 @@
     bool closed = false;
 };
 
-// Closes lots that are used up or that end before `close_before`, drops those
-// that have ended, and returns all lots whose state the lender was not told
-// and all closed ones.
-[[nodiscard]] std::vector<lot_report> report_lots(
+// Closes token_loans that are used up or that end before `close_before`, drops
+// those that have ended, and returns all token_loans whose state the lender was
+// not told and all closed ones.
+[[nodiscard]] std::vector<token_loan_report> report_token_loans(
     rate_limiter& limiter, workspace_id workspace, time_point close_before,
     time_point now);
 
 // The lender has taken in a report of a closed lot.
-void forget_lot(
+void drop_token_loan(
     rate_limiter& limiter, workspace_id workspace, std::uint64_t loan);
 
 } // namespace cyclamenhold
--- a/src/core/rates/rates.cpp
+++ b/src/core/rates/rates.cpp
@@ -1,7 +1,7 @@
 #include "core/rates/rates.hpp"
 
 #include "core/rates/demand_shares.hpp"
-#include "core/rates/step.hpp"
+#include "core/rates/rates_context.hpp"
 
 #include <algorithm>
 
@@ -15,83 +15,84 @@
 constexpr duration busy_interval = 5ms;
 constexpr duration idle_interval = 50ms;
 
-void dispatch(rates_step& step, host_id from, const wire_rates::bodyUnion& body)
+void dispatch(
+    rates_context& context, host_id from, const wire_rates::bodyUnion& body)
 {
     switch (body.type)
     {
     case wire_rates::body::roster_query:
-        return on_roster_query(step, from, *body.Asroster_query());
+        return on_roster_query(context, from, *body.Asroster_query());
     case wire_rates::body::roster_answer:
-        return on_roster_answer(step, from, *body.Asroster_answer());
+        return on_roster_answer(context, from, *body.Asroster_answer());
     case wire_rates::body::pledge_request:
-        return on_pledge_request(step, from, *body.Aspledge_request());
+        return on_pledge_request(context, from, *body.Aspledge_request());
     case wire_rates::body::pledge_reply:
-        return on_pledge_reply(step, from, *body.Aspledge_reply());
+        return on_pledge_reply(context, from, *body.Aspledge_reply());
     case wire_rates::body::pledge_release:
-        return on_pledge_release(step, from, *body.Aspledge_release());
+        return on_pledge_release(context, from, *body.Aspledge_release());
     case wire_rates::body::loan_request:
-        return on_loan_request(step, from, *body.Asloan_request());
+        return on_loan_request(context, from, *body.Asloan_request());
     case wire_rates::body::loan_reply:
-        return on_loan_reply(step, from, *body.Asloan_reply());
+        return on_loan_reply(context, from, *body.Asloan_reply());
     case wire_rates::body::removal_query:
-        return on_removal_query(step, from, *body.Asremoval_query());
+        return on_removal_query(context, from, *body.Asremoval_query());
     case wire_rates::body::removal_answer:
-        return on_removal_answer(step, from, *body.Asremoval_answer());
+        return on_removal_answer(context, from, *body.Asremoval_answer());
     case wire_rates::body::demand_report:
-        return on_demand_report(step, from, *body.Asdemand_report());
+        return on_demand_report(context, from, *body.Asdemand_report());
     case wire_rates::body::NONE:
         return;
     }
 }
 
 void decode_and_dispatch(
-    rates_step& step, host_id from, std::span<const std::uint8_t> payload)
+    rates_context& context, host_id from, std::span<const std::uint8_t> payload)
 {
     flatbuffers::Verifier verifier(payload.data(), payload.size());
     if (!wire_rates::VerifymessageBuffer(verifier))
     {
-        step.actions.events.push_back(
+        context.actions.events.push_back(
             {event_kind::bad_input, {}, {}, from, "malformed rates message"});
         return;
     }
     const auto message = wire_rates::UnPackmessage(payload.data());
-    dispatch(step, from, message->body);
+    dispatch(context, from, message->body);
 }
 
-void deliver_local(rates_step& step)
+void deliver_local_messages(rates_context& context)
 {
-    while (!step.state.local.empty())
+    while (!context.state.local_messages.empty())
     {
-        const auto payload = std::move(step.state.local.front());
-        step.state.local.pop_front();
-        decode_and_dispatch(step, step.state.settings.self, payload);
+        const auto payload = std::move(context.state.local_messages.front());
+        context.state.local_messages.pop_front();
+        decode_and_dispatch(context, context.state.settings.self, payload);
     }
 }
 
 // Ends an event: what the limiter may hand out never outlasts a pledge given
 // or a roster adopted in the same event.
-void finish(rates_step& step)
+void finish_event(rates_context& context)
 {
-    deliver_local(step);
-    if (step.state.weights_changed)
+    deliver_local_messages(context);
+    if (context.state.weights_changed)
     {
-        step.state.weights_changed = false;
-        set_allowances(step);
+        context.state.weights_changed = false;
+        set_allowances(context);
     }
 }
 
 // Follows the configuration: which workspaces there are and the share.
-void follow_configuration(rates_step& step)
+void apply_configuration(rates_context& context)
 {
-    rates_state& state = step.state;
-    const configuration& current = step.inputs.current;
+    rates_state& state = context.state;
+    const configuration& current = context.inputs.current;
     if (state.revision == current.revision)
     {
         return;
     }
     for (std::uint32_t shard = 0; shard < shard_count; ++shard)
     {
-        refill_shard(step, shard);
+        refill_shard(context, shard);
     }
     state.revision = current.revision;
     state.share = share_of(current, state.settings.data_centre);
@@ -103,7 +104,7 @@
         state.workspaces.emplace(id, entry);
         ids.push_back(id);
     }
-    limit_workspaces(step.inputs.limiter, ids, step.now);
+    limit_workspaces(context.inputs.limiter, ids, context.now);
     std::erase_if(
         state.loans.demand,
         [&state](const auto& entry)
@@ -114,7 +115,7 @@
 
 } // namespace
 
-void send_rates(rates_step& step, host_id to, wire_rates::bodyUnion body)
+void send_rates(rates_context& context, host_id to, wire_rates::bodyUnion body)
 {
     wire_rates::message_data message;
     message.body = std::move(body);
@@ -123,12 +124,12 @@
     std::vector<std::uint8_t> payload(
         builder.GetBufferPointer(),
         builder.GetBufferPointer() + builder.GetSize());
-    if (to == step.state.settings.self)
+    if (to == context.state.settings.self)
     {
-        step.state.local.push_back(std::move(payload));
+        context.state.local_messages.push_back(std::move(payload));
         return;
     }
-    step.actions.messages.push_back(
+    context.actions.messages.push_back(
         {to, message_kind::rates, transport::stream, std::move(payload)});
 }
 
@@ -143,8 +144,8 @@
     // Ids of an earlier life at this address must not be met again.
     state.loans.last_loan = random() >> 1;
     state.loans.last_request = random() >> 1;
-    state.pledges.last_round = random() >> 1;
-    state.pledges.first_round = state.pledges.last_round;
+    state.weight_leases.last_round = random() >> 1;
+    state.weight_leases.first_round = state.weight_leases.last_round;
     state.hosts.last_id = random() >> 1;
 }
 
@@ -152,19 +153,19 @@
     rates_state& state, const rates_inputs& inputs, time_point now,
     random_source& random, control_actions& actions)
 {
-    rates_step step{state, inputs, now, random, actions};
+    rates_context context{state, inputs, now, random, actions};
     state.last_tick_at = now;
-    follow_configuration(step);
+    apply_configuration(context);
     if (state.settings.sharing == rate_sharing::by_demand)
     {
-        keep_demand_shares(step);
+        tick_demand_shares(context);
         return;
     }
-    keep_roster(step);
-    keep_pledges(step);
-    deliver_local(step);
-    keep_loans(step);
-    finish(step);
+    tick_roster(context);
+    tick_weight_leases(context);
+    deliver_local_messages(context);
+    tick_loans(context);
+    finish_event(context);
 }
 
 void rates_on_message(
@@ -172,26 +173,26 @@
     const incoming_message& message, time_point now, random_source& random,
     control_actions& actions)
 {
-    rates_step step{state, inputs, now, random, actions};
-    follow_configuration(step);
-    decode_and_dispatch(step, message.from, message.payload);
-    finish(step);
+    rates_context context{state, inputs, now, random, actions};
+    apply_configuration(context);
+    decode_and_dispatch(context, message.from, message.payload);
+    finish_event(context);
 }
 
 void rates_on_platform_reply(
     rates_state& state, const rates_inputs& inputs, const platform_reply& reply,
     time_point now, random_source& random, control_actions& actions)
 {
-    rates_step step{state, inputs, now, random, actions};
-    on_roster_reply(step, reply);
-    finish(step);
+    rates_context context{state, inputs, now, random, actions};
+    on_roster_reply(context, reply);
+    finish_event(context);
 }
 
 time_point rates_due(const rates_state& state)
 {
     if (state.settings.sharing == rate_sharing::by_demand)
     {
-        return demand_due(state);
+        return demand_shares_due(state);
     }
     return state.last_tick_at +
            (state.loans.busy ? busy_interval : idle_interval);
@@ -201,22 +202,22 @@
     rates_state& state, const rates_inputs& inputs, time_point now,
     random_source& random, control_actions& actions)
 {
-    rates_step step{state, inputs, now, random, actions};
+    rates_context context{state, inputs, now, random, actions};
     state.leaving = true;
     if (state.settings.sharing == rate_sharing::by_demand)
     {
         return;
     }
-    keep_loans(step);
-    deliver_local(step);
-    release_pledges(step);
-    finish(step);
+    tick_loans(context);
+    deliver_local_messages(context);
+    release_weight_leases(context);
+    finish_event(context);
 }
 
-steward_office
-rates_office(const rates_state& state, std::uint32_t shard, time_point now)
+steward_lease rates_steward_lease(
+    const rates_state& state, std::uint32_t shard, time_point now)
 {
-    return office_of(state, shard, now);
+    return current_steward_lease(state, shard, now);
 }
 
 } // namespace cyclamenhold
--- a/src/core/rates/rates.hpp
+++ b/src/core/rates/rates.hpp
@@ -1,6 +1,6 @@
-// What this node may admit of each workspace's rate: roster, pledges, stewards
-// and loans. Runs on the control thread only; hands tokens to the request path
-// through a rate_limiter.
+// What this node may admit of each workspace's rate: roster, weight_leases,
+// stewards and loans. Runs on the control thread only; hands tokens to the
+// request path through a rate_limiter.
 #pragma once
 
 #include "core/base/random.hpp"
@@ -8,9 +8,9 @@
 #include "core/membership/membership.hpp"
 #include "core/rates/demand_shares.hpp"
 #include "core/rates/loans.hpp"
-#include "core/rates/pledges.hpp"
 #include "core/rates/rate_limiter.hpp"
-#include "core/rates/roster_keeping.hpp"
+#include "core/rates/roster_maintenance.hpp"
+#include "core/rates/weight_leases.hpp"
 #include "ports/control_actions.hpp"
 
 #include <cstdint>
@@ -74,7 +74,7 @@
 {
     rates_settings settings;
     roster_state hosts;
-    pledge_state pledges;
+    weight_lease_state weight_leases;
     loan_state loans;
     demand_share_state demand;
     // The revision whose workspaces the limiter and the shares are set to.
@@ -86,7 +86,7 @@
     bool weights_changed = false;
     std::map<workspace_id, workspace> workspaces;
     // Encoded messages to this host itself, handled before a call returns.
-    std::deque<std::vector<std::uint8_t>> local;
+    std::deque<std::vector<std::uint8_t>> local_messages;
 };
 
 void rates_start(
@@ -113,8 +113,8 @@
     random_source& random, control_actions& actions);
 
 // For claims: the office of a shard, with epoch 0 unless this host holds the
-// pledges of more than half of the roster at this moment.
-[[nodiscard]] steward_office
-rates_office(const rates_state& state, std::uint32_t shard, time_point now);
+// weight_leases of more than half of the roster at this moment.
+[[nodiscard]] steward_lease rates_steward_lease(
+    const rates_state& state, std::uint32_t shard, time_point now);
 
 } // namespace cyclamenhold
--- a/src/core/rates/step.hpp
+++ b/src/core/rates/rates_context.hpp
@@ -7,7 +7,7 @@
 namespace cyclamenhold
 {
 
-struct rates_step
+struct rates_context
 {
     rates_state& state;
     const rates_inputs& inputs;
@@ -17,14 +17,15 @@
 };
 
 // Sends a message; one to this host itself is handled before the event ends.
-void send_rates(rates_step& step, host_id to, wire::rates::bodyUnion body);
+void send_rates(
+    rates_context& context, host_id to, wire::rates::bodyUnion body);
 
 template <class Message>
-void send_rates_message(rates_step& step, host_id to, Message message)
+void send_rates_message(rates_context& context, host_id to, Message message)
 {
     wire::rates::bodyUnion body;
     body.Set(std::move(message));
-    send_rates(step, to, std::move(body));
+    send_rates(context, to, std::move(body));
 }
 
 [[nodiscard]] inline std::uint64_t to_wire(host_id host)
@@ -46,30 +47,40 @@
 }
 
 // Takes in epochs that a message tells of.
-void note_epochs(
-    rates_step& step, host_id from,
+void record_epochs(
+    rates_context& context, host_id from,
     const std::vector<wire::rates::shard_epoch>& epochs, bool from_steward);
 
 // Handlers of the messages, by the part that owns them.
 void on_roster_query(
-    rates_step& step, host_id from, const wire::rates::roster_query_data& in);
+    rates_context& context, host_id from,
+    const wire::rates::roster_query_data& in);
 void on_roster_answer(
-    rates_step& step, host_id from, const wire::rates::roster_answer_data& in);
+    rates_context& context, host_id from,
+    const wire::rates::roster_answer_data& in);
 void on_removal_query(
-    rates_step& step, host_id from, const wire::rates::removal_query_data& in);
+    rates_context& context, host_id from,
+    const wire::rates::removal_query_data& in);
 void on_removal_answer(
-    rates_step& step, host_id from, const wire::rates::removal_answer_data& in);
+    rates_context& context, host_id from,
+    const wire::rates::removal_answer_data& in);
 void on_pledge_request(
-    rates_step& step, host_id from, const wire::rates::pledge_request_data& in);
+    rates_context& context, host_id from,
+    const wire::rates::pledge_request_data& in);
 void on_pledge_reply(
-    rates_step& step, host_id from, const wire::rates::pledge_reply_data& in);
+    rates_context& context, host_id from,
+    const wire::rates::pledge_reply_data& in);
 void on_pledge_release(
-    rates_step& step, host_id from, const wire::rates::pledge_release_data& in);
+    rates_context& context, host_id from,
+    const wire::rates::pledge_release_data& in);
 void on_loan_request(
-    rates_step& step, host_id from, const wire::rates::loan_request_data& in);
+    rates_context& context, host_id from,
+    const wire::rates::loan_request_data& in);
 void on_loan_reply(
-    rates_step& step, host_id from, const wire::rates::loan_reply_data& in);
+    rates_context& context, host_id from,
+    const wire::rates::loan_reply_data& in);
 void on_demand_report(
-    rates_step& step, host_id from, const wire::rates::demand_report_data& in);
+    rates_context& context, host_id from,
+    const wire::rates::demand_report_data& in);
 
 } // namespace cyclamenhold
--- a/src/core/rates/remote_loans.cpp
+++ b/src/core/rates/remote_loans.cpp
@@ -1,6 +1,6 @@
 #include "core/rates/remote_loans.hpp"
 
-#include "core/rates/step.hpp"
+#include "core/rates/rates_context.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -12,21 +12,21 @@
 
 namespace wire_rates = wire::rates;
 
-constexpr double smallest_want = 0.01;
+constexpr double min_requested_tokens = 0.01;
 constexpr duration remote_timeout = 300ms;
-constexpr duration ask_interval = 10ms;
+constexpr duration request_interval = 10ms;
 constexpr duration report_interval = 50ms;
 constexpr duration first_back_off = 20ms;
-constexpr duration longest_back_off = 1s;
+constexpr duration max_back_off = 1s;
 
 // The data centres of the configuration besides this one.
-std::vector<data_centre_id> other_data_centres(const rates_step& step)
+std::vector<data_centre_id> other_data_centres(const rates_context& context)
 {
     std::vector<data_centre_id> others;
-    for (const auto& entry : step.inputs.current.data_centres)
+    for (const auto& entry : context.inputs.current.data_centres)
     {
         const data_centre_id id = data_centre_id_of(entry.name);
-        if (id != step.state.settings.data_centre)
+        if (id != context.state.settings.data_centre)
         {
             others.push_back(id);
         }
@@ -36,10 +36,11 @@
 
 // The host that should be steward of a shard in another data centre.
 host_id remote_steward(
-    const rates_step& step, data_centre_id data_centre, std::uint32_t shard)
+    const rates_context& context, data_centre_id data_centre,
+    std::uint32_t shard)
 {
     std::vector<host_id> hosts;
-    for (const auto& [host, entry] : step.inputs.members.members)
+    for (const auto& [host, entry] : context.inputs.members.members)
     {
         if (entry.data_centre == data_centre &&
             entry.state == member_state::alive)
@@ -50,35 +51,34 @@
     return rendezvous_winner(shard, hosts);
 }
 
-void slow_down(remote_lender& lender, time_point now)
+void back_off_lender(remote_lender& lender, time_point now)
 {
     lender.back_off = std::clamp(
-        lender.back_off * 2, duration(first_back_off),
-        duration(longest_back_off));
-    lender.next_ask_at = now + lender.back_off;
+        lender.back_off * 2, duration(first_back_off), duration(max_back_off));
+    lender.next_request_at = now + lender.back_off;
 }
 
-bool may_ask(remote_lender& lender, time_point now)
+bool is_request_due(remote_lender& lender, time_point now)
 {
-    if (lender.request != 0 && now - lender.asked_at >= remote_timeout)
+    if (lender.request != 0 && now - lender.requested_at >= remote_timeout)
     {
         lender.request = 0;
-        slow_down(lender, now);
+        back_off_lender(lender, now);
     }
-    return lender.request == 0 && now >= lender.next_ask_at;
+    return lender.request == 0 && now >= lender.next_request_at;
 }
 
 // Tells lenders what became of the tokens they lent.
-void report_borrowed(
-    rates_step& step, loan_requests& requests, workspace_id id,
+void report_inbound_loans(
+    rates_context& context, loan_requests& requests, workspace_id id,
     lender_bucket& bucket)
 {
-    if (step.now - bucket.reported_at < report_interval)
+    if (context.now - bucket.reported_at < report_interval)
     {
         return;
     }
-    bucket.reported_at = step.now;
-    for (auto& lot : bucket.lots)
+    bucket.reported_at = context.now;
+    for (auto& lot : bucket.inbound_loans)
     {
         if (!lot.closed && lot.used <= lot.reported_used)
         {
@@ -86,79 +86,80 @@
         }
         lot.reported_used = lot.used;
         add_settlement(
-            request_to(step, requests, lot.lender, true), id, lot.loan,
+            request_to(context, requests, lot.lender, true), id, lot.loan,
             lot.used, lot.closed);
     }
 }
 
-void ask_others(
-    rates_step& step, loan_requests& requests, std::uint32_t shard,
+void request_remote_loans(
+    rates_context& context, loan_requests& requests, std::uint32_t shard,
     workspace_id id, double wanted)
 {
     std::vector<data_centre_id> ready;
-    for (const data_centre_id other : other_data_centres(step))
+    for (const data_centre_id other : other_data_centres(context))
     {
-        if (may_ask(step.state.loans.remote[{id, other}], step.now))
+        if (is_request_due(
+                context.state.loans.remote[{id, other}], context.now))
         {
             ready.push_back(other);
         }
     }
     for (const data_centre_id other : ready)
     {
-        const host_id steward = remote_steward(step, other, shard);
+        const host_id steward = remote_steward(context, other, shard);
         if (steward == host_id::none)
         {
             continue;
         }
-        remote_lender& lender = step.state.loans.remote[{id, other}];
-        auto& request = request_to(step, requests, steward, true);
+        remote_lender& lender = context.state.loans.remote[{id, other}];
+        auto& request = request_to(context, requests, steward, true);
         add_item(request, id, wanted / static_cast<double>(ready.size()));
         lender.request = request.request;
-        lender.asked_at = step.now;
+        lender.requested_at = context.now;
     }
 }
 
 } // namespace
 
-void keep_remote_loans(rates_step& step, loan_requests& requests)
+void tick_remote_loans(rates_context& context, loan_requests& requests)
 {
-    rates_state& state = step.state;
+    rates_state& state = context.state;
     for (std::uint32_t shard = 0; shard < shard_count; ++shard)
     {
-        stewardship& held = state.pledges.held[shard];
-        if (held.pledges.empty())
+        stewardship& held = state.weight_leases.held[shard];
+        if (held.weight_leases.empty())
         {
             continue;
         }
         for (auto& [id, bucket] : held.buckets)
         {
-            const auto limits = limits_of(step, shard, id);
-            refill_lender(bucket, limits, step.now);
-            report_borrowed(step, requests, id, bucket);
-            const double wanted = unmet_wants(bucket, step.now) -
-                                  lendable(bucket, limits, step.now);
-            if (wanted >= smallest_want && !state.leaving)
+            const auto limits = limits_of(context, shard, id);
+            refill_lender(bucket, limits, context.now);
+            report_inbound_loans(context, requests, id, bucket);
+            const double wanted = sum_unmet_demand(bucket, context.now) -
+                                  lendable(bucket, limits, context.now);
+            if (wanted >= min_requested_tokens && !state.leaving)
             {
                 state.loans.busy = true;
-                ask_others(step, requests, shard, id, wanted);
+                request_remote_loans(context, requests, shard, id, wanted);
             }
         }
     }
 }
 
 void on_remote_loan_reply(
-    rates_step& step, host_id from, const sent_request& sent,
+    rates_context& context, host_id from, const sent_request& sent,
     const wire_rates::loan_reply_data& in)
 {
-    rates_state& state = step.state;
+    rates_state& state = context.state;
     for (const auto& [workspace, loan] : sent.closed)
     {
-        auto& buckets = state.pledges.held[shard_of(workspace)].buckets;
+        auto& buckets = state.weight_leases.held[shard_of(workspace)].buckets;
         if (const auto found = buckets.find(workspace); found != buckets.end())
         {
             std::erase_if(
-                found->second.lots,
-                [loan = loan](const borrowed_lot& lot)
+                found->second.inbound_loans,
+                [loan = loan](const inbound_loan& lot)
                 {
                     return lot.loan == loan && lot.closed;
                 });
@@ -179,24 +180,25 @@
             });
         if (grant == in.grants.end() || (*grant)->amount <= 0.0)
         {
-            slow_down(lender, step.now);
+            back_off_lender(lender, context.now);
             continue;
         }
         lender.back_off = {};
-        lender.next_ask_at = step.now + ask_interval;
-        borrowed_lot lot;
+        lender.next_request_at = context.now + request_interval;
+        inbound_loan lot;
         lot.loan = (*grant)->loan;
         lot.lender = from;
         lot.data_centre = key.data_centre;
         lot.tokens = (*grant)->amount;
-        lot.expires_at = sent.asked_at + from_microseconds((*grant)->term_us);
-        auto& held = state.pledges.held[shard_of(key.workspace)];
+        lot.expires_at =
+            sent.requested_at + from_microseconds((*grant)->term_us);
+        auto& held = state.weight_leases.held[shard_of(key.workspace)];
         auto [entry, added] = held.buckets.try_emplace(key.workspace);
         if (added)
         {
-            entry->second.refilled_at = step.now;
+            entry->second.refilled_at = context.now;
         }
-        entry->second.lots.push_back(lot);
+        entry->second.inbound_loans.push_back(lot);
     }
 }
 
--- a/src/core/rates/remote_loans.hpp
+++ b/src/core/rates/remote_loans.hpp
@@ -27,7 +27,7 @@
 
 // The request to a lender, begun when there is none yet.
 [[nodiscard]] wire::rates::loan_request_data& request_to(
-    rates_step& step, loan_requests& requests, host_id to,
+    rates_context& context, loan_requests& requests, host_id to,
     bool between_data_centres);
 void add_item(
     wire::rates::loan_request_data& request, workspace_id workspace,
@@ -37,10 +37,10 @@
     std::uint64_t loan, double used, bool closed);
 
 // Adds a steward's requests to stewards of other data centres.
-void keep_remote_loans(rates_step& step, loan_requests& requests);
+void tick_remote_loans(rates_context& context, loan_requests& requests);
 
 void on_remote_loan_reply(
-    rates_step& step, host_id from, const sent_request& sent,
+    rates_context& context, host_id from, const sent_request& sent,
     const wire::rates::loan_reply_data& in);
 
 } // namespace cyclamenhold
--- a/src/core/rates/roster.cpp
+++ b/src/core/rates/roster.cpp
@@ -47,7 +47,7 @@
     return &*found;
 }
 
-std::string roster_text(const roster& hosts)
+std::string serialize_roster(const roster& hosts)
 {
     json::array members;
     for (const auto& [host, added, joined] : hosts.members)
--- a/src/core/rates/roster.hpp
+++ b/src/core/rates/roster.hpp
@@ -54,7 +54,7 @@
 }
 
 // The value kept in the platform.
-[[nodiscard]] std::string roster_text(const roster& hosts);
+[[nodiscard]] std::string serialize_roster(const roster& hosts);
 [[nodiscard]] std::optional<roster>
 parse_roster(std::string_view text, std::uint64_t platform_version);
 [[nodiscard]] std::string roster_key(data_centre_id data_centre);
--- a/src/core/rates/roster_contact.cpp
+++ b/src/core/rates/roster_contact.cpp
@@ -1,6 +1,6 @@
-#include "core/rates/roster_keeping.hpp"
-#include "core/rates/step.hpp"
-#include "core/rates/terms.hpp"
+#include "core/rates/lease_terms.hpp"
+#include "core/rates/rates_context.hpp"
+#include "core/rates/roster_maintenance.hpp"
 
 #include <algorithm>
 #include <functional>
@@ -8,40 +8,43 @@
 namespace cyclamenhold
 {
 
-bool is_waiting(const rates_step& step)
+bool is_in_restart_wait(const rates_context& context)
 {
-    const roster_state& hosts = step.state.hosts;
+    const roster_state& hosts = context.state.hosts;
     const roster_member* const self =
-        find_member(hosts.known, step.state.settings.self);
-    if (self == nullptr || self->added == step.inputs.members.self_incarnation)
+        find_member(hosts.known, context.state.settings.self);
+    if (self == nullptr ||
+        self->added == context.inputs.members.self_incarnation)
     {
         return false;
     }
-    return step.now < hosts.started_at + giver_term(step.state.settings.term);
+    return context.now <
+           hosts.started_at + grantor_term(context.state.settings.term);
 }
 
-bool is_active(const rates_step& step)
+bool is_active(const rates_context& context)
 {
-    const roster_state& hosts = step.state.hosts;
+    const roster_state& hosts = context.state.hosts;
     const roster_member* const self =
-        find_member(hosts.known, step.state.settings.self);
-    if (self == nullptr || hosts.floor < self->joined || is_waiting(step))
+        find_member(hosts.known, context.state.settings.self);
+    if (self == nullptr || hosts.floor < self->joined ||
+        is_in_restart_wait(context))
     {
         return false;
     }
-    return hosts.relearned;
+    return hosts.is_roster_current;
 }
 
 std::size_t weight_parts(const roster_state& state, time_point now)
 {
     const std::size_t members = state.known.members.size();
-    return now < state.grow_at ? std::max(members, state.counted_members)
-                               : members;
+    return now < state.counted_until ? std::max(members, state.counted_members)
+                                     : members;
 }
 
-time_point peer_contact_until(const rates_step& step)
+time_point peer_contact_expires_at(const rates_context& context)
 {
-    const roster_state& hosts = step.state.hosts;
+    const roster_state& hosts = context.state.hosts;
     const std::size_t needed = majority_of(hosts.known.members.size()) - 1;
     if (needed == 0)
     {
@@ -61,30 +64,30 @@
     }
     std::ranges::sort(asked, std::greater<>());
     return asked[needed - 1] +
-           receiver_term(step.state.settings.removal_time / 2);
+           holder_term(context.state.settings.removal_time / 2);
 }
 
-time_point contact_until(const rates_step& step)
+time_point contact_expires_at(const rates_context& context)
 {
-    const roster_state& hosts = step.state.hosts;
-    const time_point peers = peer_contact_until(step);
+    const roster_state& hosts = context.state.hosts;
+    const time_point peers = peer_contact_expires_at(context);
     if (hosts.platform_read_at == time_point::min())
     {
         return peers;
     }
     return std::max(
         peers, hosts.platform_read_at +
-                   receiver_term(step.state.settings.removal_time / 2));
+                   holder_term(context.state.settings.removal_time / 2));
 }
 
-duration contact_left(const rates_step& step)
+duration contact_time_left(const rates_context& context)
 {
-    const time_point until = contact_until(step);
-    if (until <= step.now)
+    const time_point until = contact_expires_at(context);
+    if (until <= context.now)
     {
         return duration::zero();
     }
-    return until == time_point::max() ? duration(24h) : until - step.now;
+    return until == time_point::max() ? duration(24h) : until - context.now;
 }
 
 } // namespace cyclamenhold
--- a/src/core/rates/roster_exchange.cpp
+++ b/src/core/rates/roster_exchange.cpp
@@ -1,6 +1,6 @@
-#include "core/rates/roster_keeping.hpp"
-#include "core/rates/step.hpp"
-#include "core/rates/terms.hpp"
+#include "core/rates/lease_terms.hpp"
+#include "core/rates/rates_context.hpp"
+#include "core/rates/roster_maintenance.hpp"
 
 #include <algorithm>
 #include <functional>
@@ -48,13 +48,14 @@
 } // namespace
 
 void on_roster_query(
-    rates_step& step, host_id from, const wire_rates::roster_query_data& in)
+    rates_context& context, host_id from,
+    const wire_rates::roster_query_data& in)
 {
-    const roster_state& hosts = step.state.hosts;
+    const roster_state& hosts = context.state.hosts;
     wire_rates::roster_answer_data answer;
     answer.query = in.query;
     answer.index = hosts.known.index;
-    answer.active = is_active(step) && contains(hosts.known, from) &&
+    answer.active = is_active(context) && contains(hosts.known, from) &&
                     !hosts.refused.contains(from);
     answer.floor = hosts.floor;
     if (in.index < hosts.known.index)
@@ -62,16 +63,17 @@
         answer.roster = std::make_unique<wire_rates::roster_image_data>(
             image_of(hosts.known));
     }
-    send_rates_message(step, from, std::move(answer));
+    send_rates_message(context, from, std::move(answer));
 }
 
 void on_roster_answer(
-    rates_step& step, host_id from, const wire_rates::roster_answer_data& in)
+    rates_context& context, host_id from,
+    const wire_rates::roster_answer_data& in)
 {
-    roster_state& hosts = step.state.hosts;
+    roster_state& hosts = context.state.hosts;
     if (in.roster)
     {
-        adopt_roster(step, roster_of(*in.roster));
+        adopt_roster(context, roster_of(*in.roster));
     }
     hosts.floor = std::max(hosts.floor, in.floor);
     if (in.active && in.query == hosts.query)
--- a/src/core/rates/roster_removal.cpp
+++ b/src/core/rates/roster_removal.cpp
@@ -1,6 +1,6 @@
 #include "core/rates/roster_removal.hpp"
 
-#include "core/rates/step.hpp"
+#include "core/rates/rates_context.hpp"
 
 #include <algorithm>
 
@@ -12,88 +12,92 @@
 namespace wire_rates = wire::rates;
 
 // A proposal that has found no majority by then is given up.
-constexpr duration proposal_time = 1s;
+constexpr duration proposal_timeout = 1s;
 
-bool is_alive(const rates_step& step, host_id host)
+bool is_alive(const rates_context& context, host_id host)
 {
-    const auto& members = step.inputs.members.members;
+    const auto& members = context.inputs.members.members;
     const auto found = members.find(host);
     return found != members.end() && found->second.state == member_state::alive;
 }
 
 // This host has had no sign of `host` for the removal time.
-bool long_silent(const rates_step& step, host_id host)
+bool is_long_silent(const rates_context& context, host_id host)
 {
-    const rates_state& state = step.state;
-    if (host == state.settings.self || is_alive(step, host) ||
-        !is_active(step) || !contains(state.hosts.known, host))
+    const rates_state& state = context.state;
+    if (host == state.settings.self || is_alive(context, host) ||
+        !is_active(context) || !contains(state.hosts.known, host))
     {
         return false;
     }
     const auto contact = state.hosts.contacts.find(host);
-    const time_point heard = contact == state.hosts.contacts.end()
-                                 ? state.hosts.started_at
-                                 : contact->second;
-    return step.now - heard > state.settings.removal_time;
+    const time_point last_contact_at = contact == state.hosts.contacts.end()
+                                           ? state.hosts.started_at
+                                           : contact->second;
+    return context.now - last_contact_at > state.settings.removal_time;
 }
 
 } // namespace
 
-void keep_removals(rates_step& step)
+void tick_removals(rates_context& context)
 {
-    rates_state& state = step.state;
+    rates_state& state = context.state;
     roster_state& hosts = state.hosts;
-    if (hosts.removal && step.now - hosts.removal->asked_at > proposal_time)
+    if (hosts.removal &&
+        context.now - hosts.removal->requested_at > proposal_timeout)
     {
         hosts.removal.reset();
-        hosts.next_removal_at = step.now + state.settings.removal_time / 8;
+        hosts.next_removal_at = context.now + state.settings.removal_time / 8;
     }
-    if (hosts.removal || hosts.call || step.now < hosts.next_removal_at ||
-        state.pledges.winners[0] != state.settings.self)
+    if (hosts.removal || hosts.call || context.now < hosts.next_removal_at ||
+        state.weight_leases.winners[0] != state.settings.self)
     {
         return;
     }
     const auto silent = std::ranges::find_if(
         hosts.known.members,
-        [&step](const roster_member& entry)
+        [&context](const roster_member& entry)
         {
-            return long_silent(step, entry.host);
+            return is_long_silent(context, entry.host);
         });
     if (silent == hosts.known.members.end())
     {
         return;
     }
     hosts.removal =
-        removal_proposal{silent->host, hosts.known.index, {}, step.now};
+        removal_proposal{silent->host, hosts.known.index, {}, context.now};
     wire_rates::removal_query_data query;
     query.index = hosts.known.index;
     query.host = to_wire(silent->host);
     for (const auto& entry : hosts.known.members)
     {
-        send_rates_message(step, entry.host, query);
+        send_rates_message(context, entry.host, query);
     }
 }
 
 void on_removal_query(
-    rates_step& step, host_id from, const wire_rates::removal_query_data& in)
+    rates_context& context, host_id from,
+    const wire_rates::removal_query_data& in)
 {
     const auto host = static_cast<host_id>(in.host);
-    roster_state& hosts = step.state.hosts;
+    roster_state& hosts = context.state.hosts;
     wire_rates::removal_answer_data answer;
     answer.index = in.index;
     answer.host = in.host;
-    answer.silent = in.index == hosts.known.index && long_silent(step, host);
+    answer.silent =
+        in.index == hosts.known.index && is_long_silent(context, host);
     if (answer.silent)
     {
         hosts.refused[host] = in.index;
     }
-    send_rates_message(step, from, answer);
+    send_rates_message(context, from, answer);
 }
 
 void on_removal_answer(
-    rates_step& step, host_id from, const wire_rates::removal_answer_data& in)
+    rates_context& context, host_id from,
+    const wire_rates::removal_answer_data& in)
 {
-    roster_state& hosts = step.state.hosts;
+    roster_state& hosts = context.state.hosts;
     if (!in.silent || !hosts.removal || !contains(hosts.known, from) ||
         hosts.removal->host != static_cast<host_id>(in.host) ||
         hosts.removal->index != in.index || in.index != hosts.known.index)
@@ -102,16 +106,18 @@
     }
     removal_proposal& proposal = *hosts.removal;
     proposal.confirmed.insert(from);
-    if (hosts.call || step.now - proposal.asked_at > proposal_time ||
+    if (hosts.call || context.now - proposal.requested_at > proposal_timeout ||
         proposal.confirmed.size() < majority_of(hosts.known.members.size()))
     {
         return;
     }
     write_roster(
-        step,
-        without_member(hosts.known, proposal.host, step.now < hosts.grow_at));
+        context,
+        without_member(
+            hosts.known, proposal.host, context.now < hosts.counted_until));
     hosts.removal.reset();
-    hosts.next_removal_at = step.now + step.state.settings.removal_time / 8;
+    hosts.next_removal_at =
+        context.now + context.state.settings.removal_time / 8;
 }
 
 } // namespace cyclamenhold
--- a/src/core/rates/roster_removal.hpp
+++ b/src/core/rates/roster_removal.hpp
@@ -6,9 +6,9 @@
 namespace cyclamenhold
 {
 
-struct rates_step;
+struct rates_context;
 
 // Proposes to remove a member that has long been silent, at one host.
-void keep_removals(rates_step& step);
+void tick_removals(rates_context& context);
 
 } // namespace cyclamenhold
--- a/src/core/rates/pledges.hpp
+++ b/src/core/rates/weight_leases.hpp
@@ -15,15 +15,15 @@
 namespace cyclamenhold
 {
 
-struct rates_step;
+struct rates_context;
 struct rates_state;
 
 // A member's side of one shard.
-struct given_pledge
+struct granted_weight_lease
 {
     host_id to = host_id::none;
     // The life of the receiver; a later one has to wait for the end.
-    incarnation to_life = 0;
+    incarnation holder_incarnation = 0;
     std::uint64_t round = 0;
     // Counted by the giver, from its answer.
     time_point ends_at = time_point::min();
@@ -34,7 +34,7 @@
 };
 
 // A steward's side: one member's weight.
-struct held_pledge
+struct held_weight_lease
 {
     std::uint32_t parts = 0;
     std::uint64_t index = 0;
@@ -42,11 +42,11 @@
     time_point valid_until{};
 };
 
-// An office's generation lasts so long.
+// An lease's generation lasts so long.
 constexpr duration claim_generation_time = 600s;
 
 // The right to claim: held while more than half of the roster pledge.
-struct steward_office
+struct steward_lease
 {
     // 0 while not held.
     std::uint64_t epoch = 0;
@@ -58,57 +58,57 @@
 
 struct stewardship
 {
-    std::map<host_id, held_pledge> pledges;
+    std::map<host_id, held_weight_lease> weight_leases;
     std::map<workspace_id, lender_bucket> buckets;
-    steward_office office;
+    steward_lease lease;
 };
 
-struct pledge_round
+struct weight_lease_round
 {
     std::uint64_t round = 0;
-    time_point asked_at{};
+    time_point requested_at{};
 };
 
 // What a member last told a steward, for computing the floor.
 struct member_report
 {
     std::uint64_t confirmed = 0;
-    time_point asked_at = time_point::min();
+    time_point requested_at = time_point::min();
 };
 
-// The newest epoch heard of in a shard, and from whom.
-struct heard_epoch
+// The newest epoch observed of in a shard, and from whom.
+struct observed_epoch
 {
     std::uint64_t epoch = 0;
     std::uint64_t generation = 0;
     host_id steward = host_id::none;
 };
 
-struct pledge_state
+struct weight_lease_state
 {
-    std::array<given_pledge, shard_count> given;
+    std::array<granted_weight_lease, shard_count> granted;
     std::array<stewardship, shard_count> held;
-    std::array<heard_epoch, shard_count> heard;
+    std::array<observed_epoch, shard_count> observed;
     // The rendezvous winners of this host's view.
     std::array<host_id, shard_count> winners{};
     std::uint64_t winners_version = 0;
     std::uint64_t winners_index = 0;
-    std::deque<pledge_round> rounds;
+    std::deque<weight_lease_round> rounds;
     std::uint64_t first_round = 0;
     std::uint64_t last_round = 0;
     time_point next_round_at{};
     std::map<host_id, member_report> reports;
 };
 
-// Elects winners, asks for pledges and keeps offices.
-void keep_pledges(rates_step& step);
+// Elects winners, asks for weight_leases and keeps offices.
+void tick_weight_leases(rates_context& context);
 
 // The lowest roster index under which this host's weight is in use.
-[[nodiscard]] std::uint64_t confirmed_index(const rates_step& step);
+[[nodiscard]] std::uint64_t confirmed_index(const rates_context& context);
 
 // This host has its own weight of the shard to itself.
 [[nodiscard]] bool
-holds_own_weight(const rates_step& step, std::uint32_t shard);
+has_unleased_weight(const rates_context& context, std::uint32_t shard);
 
 // The part of the data centre's share pledged to this host until `until`.
 [[nodiscard]] double held_weight(const stewardship& held, time_point until);
@@ -116,23 +116,23 @@
 [[nodiscard]] bool is_lender(const stewardship& held, time_point now);
 
 // Fills all buckets of a shard by the weights held so far.
-void refill_shard(rates_step& step, std::uint32_t shard);
+void refill_shard(rates_context& context, std::uint32_t shard);
 
 // The limits of a workspace's bucket at this steward.
-[[nodiscard]] lending_limits
-limits_of(const rates_step& step, std::uint32_t shard, workspace_id workspace);
+[[nodiscard]] lending_limits limits_of(
+    const rates_context& context, std::uint32_t shard, workspace_id workspace);
 
 // More than half of the roster pledge the shard to this host now.
 [[nodiscard]] bool
 has_majority(const rates_state& state, std::uint32_t shard, time_point now);
 
-// The office of a shard, with epoch 0 unless it is held at this moment.
-[[nodiscard]] steward_office
-office_of(const rates_state& state, std::uint32_t shard, time_point now);
+// The lease of a shard, with epoch 0 unless it is held at this moment.
+[[nodiscard]] steward_lease current_steward_lease(
+    const rates_state& state, std::uint32_t shard, time_point now);
 
 // Elects the steward of each shard in this host's view, when that changed.
-void elect_winners(rates_step& step);
+void update_winners(rates_context& context);
 
-void release_pledges(rates_step& step);
+void release_weight_leases(rates_context& context);
 
 } // namespace cyclamenhold
--- a/src/core/request/call.cpp
+++ b/src/core/request/call.cpp
@@ -376,7 +376,7 @@
         call.ended_aside = true;
         const auto tables = path.tables.read();
         const token_answer answer =
-            refused_by_bucket(path.limiter, call.context.workspace);
+            bucket_refusal(path.limiter, call.context.workspace);
         return refuse(
             refusal::rate_exceeded, outcome::not_run, answer.retry_after,
             rate_inputs(*tables, call.workspace, answer));
@@ -482,7 +482,7 @@
     if (call.holds_token && !call.may_have_run && !call.has_run &&
         path.keyless_are_calls)
     {
-        give_back_token(path.limiter, call.context.workspace, now);
+        return_token(path.limiter, call.context.workspace, now);
     }
     if (!call.answered && call.context.digest != 0)
     {
--- a/tests/core/claims_test.cpp
+++ b/tests/core/claims_test.cpp
@@ -139,7 +139,7 @@
         ASSERT_EQ(claims.ask(first, other).status, claim_status::granted);
         const auto shard = parse_ticket(other)->shard;
         const host_id steward =
-            first.control->rates.pledges.heard[shard].steward;
+            first.control->rates.weight_leases.observed[shard].steward;
         virtual_node& holder = *claims.fleet->nodes.at(steward);
         claims.fleet->crash(holder);
         claims.fleet->run_for(1s);
--- a/tests/core/demand_shares_test.cpp
+++ b/tests/core/demand_shares_test.cpp
@@ -86,9 +86,9 @@
 
 // A small workspace whose callers come one by one at twelve hosts: each host
 // sees four requests a second, in no even rhythm.
-struct thin_demand
+struct sparse_demand
 {
-    thin_demand() : fleet(12, small_rate, small_burst)
+    sparse_demand() : fleet(12, small_rate, small_burst)
     {
         for (const auto& host : fleet.hosts)
         {
@@ -120,7 +120,7 @@
 
 TEST(demand_shares, callers_spread_thin_over_many_hosts)
 {
-    thin_demand thin;
+    sparse_demand thin;
     const std::vector<double> inside(12, 47.0 / 12.0);
     thin.fleet.run_random(inside, 10s);
     {
@@ -128,8 +128,8 @@
         const auto counts = thin.fleet.run_random(inside, 60s);
         EXPECT_GE(
             counts.admitted,
-            (1.0 - thin_demand::small_shortfall) * counts.offered);
-        EXPECT_LE(counts.most_in_window, thin_demand::allowed());
+            (1.0 - sparse_demand::small_shortfall) * counts.offered);
+        EXPECT_LE(counts.most_in_window, sparse_demand::allowed());
     }
     {
         SCOPED_TRACE("rate and burst of a window: most are admitted");
@@ -137,14 +137,14 @@
         const auto counts = thin.fleet.run_random(full, 60s);
         EXPECT_GE(
             counts.admitted,
-            (1.0 - thin_demand::large_shortfall) * counts.offered);
-        EXPECT_LE(counts.most_in_window, thin_demand::allowed());
+            (1.0 - sparse_demand::large_shortfall) * counts.offered);
+        EXPECT_LE(counts.most_in_window, sparse_demand::allowed());
     }
     {
         SCOPED_TRACE("far more than the rate stays inside the bound");
         const std::vector<double> excess(12, 250.0 / 12.0);
         const auto counts = thin.fleet.run_random(excess, 30s);
-        EXPECT_LE(counts.most_in_window, thin_demand::allowed());
+        EXPECT_LE(counts.most_in_window, sparse_demand::allowed());
         EXPECT_GE(counts.admitted, 47.0 * 30.0);
     }
 }
@@ -155,8 +155,8 @@
     for (const auto& host : fleet.hosts)
     {
         host->rates.settings.window = rate_window;
-        host->rates.settings.overage = thin_demand::overage;
-        host->rates.settings.slack = thin_demand::slack;
+        host->rates.settings.overage = sparse_demand::overage;
+        host->rates.settings.slack = sparse_demand::slack;
         host->limiter.longest_wait = 200ms;
         host->limiter.has_loans = false;
     }
@@ -174,7 +174,7 @@
 
 TEST(demand_shares, excess_demand_that_moves_stays_inside_the_bound)
 {
-    thin_demand thin;
+    sparse_demand thin;
     for (int turn = 0; turn < 6; ++turn)
     {
         SCOPED_TRACE(turn);
@@ -185,7 +185,7 @@
             demand[(static_cast<std::size_t>(turn) * 4 + i) % 12] = 40.0;
         }
         const auto counts = thin.fleet.run_random(demand, 7s);
-        EXPECT_LE(counts.most_in_window, thin_demand::allowed());
+        EXPECT_LE(counts.most_in_window, sparse_demand::allowed());
     }
 }
 
@@ -201,7 +201,7 @@
         ++taken;
     }
     EXPECT_GE(taken, 99);
-    give_back_token(limiter, school, fleet.now);
+    return_token(limiter, school, fleet.now);
     EXPECT_EQ(
         take_token(limiter, school, 1, fleet.now, fleet.now).verdict,
         token_verdict::admitted);
--- a/tests/support/fleet_faults.hpp
+++ b/tests/support/fleet_faults.hpp
@@ -2,7 +2,7 @@
 // generate, print and shrink; and checks that must hold after each event.
 #pragma once
 
-#include "core/rates/step.hpp"
+#include "core/rates/rates_context.hpp"
 #include "support/virtual_fleet.hpp"
 
 #include <cmath>
@@ -170,7 +170,8 @@
     {
         return 0.0;
     }
-    double weight = held_weight(rates.pledges.held[shard_of(workspace)], now);
+    double weight =
+        held_weight(rates.weight_leases.held[shard_of(workspace)], now);
     const std::scoped_lock lock(node.path->limiter.mutex);
     const token_bucket& bucket = node.path->limiter.buckets[workspace];
     if (now < bucket.valid_until)
--- a/tests/support/sharing_fleet.hpp
+++ b/tests/support/sharing_fleet.hpp
@@ -3,7 +3,7 @@
 
 #include "core/node/control.hpp"
 #include "core/rates/demand_shares.hpp"
-#include "core/rates/step.hpp"
+#include "core/rates/rates_context.hpp"
 
 #include <algorithm>
 #include <deque>
