--- a/src/core/rates/demand_shares.cpp
+++ b/src/core/rates/demand_shares.cpp
@@ -41,10 +41,10 @@
     {
         const double arrivals =
             sample_demand(context.inputs.limiter, id, context.now).arrivals;
-        double& known = demand.own[id];
-        const double kept = std::exp(-elapsed / averaging_time(known));
-        known =
-            kept * known + (1.0 - kept) * arrivals / std::max(elapsed, 1e-3);
+        double& own_demand = demand.own[id];
+        const double decay = std::exp(-elapsed / averaging_time(own_demand));
+        own_demand = decay * own_demand +
+                     (1.0 - decay) * arrivals / std::max(elapsed, 1e-3);
     }
     std::erase_if(
         demand.own,
@@ -62,12 +62,12 @@
         context.inputs.members.members,
         [&context](const auto& entry)
         {
-            const member& known = entry.second;
-            const bool lately =
-                context.now - known.changed_at < dead_host_timeout;
-            return known.state == member_state::alive ||
-                   known.state == member_state::suspect ||
-                   (known.state == member_state::dead && lately);
+            const member& peer = entry.second;
+            const bool is_recent =
+                context.now - peer.changed_at < dead_host_timeout;
+            return peer.state == member_state::alive ||
+                   peer.state == member_state::suspect ||
+                   (peer.state == member_state::dead && is_recent);
         }));
 }
 
@@ -112,10 +112,10 @@
     const std::vector<std::uint8_t> payload(
         builder.GetBufferPointer(),
         builder.GetBufferPointer() + builder.GetSize());
-    for (const auto& [host, known] : context.inputs.members.members)
+    for (const auto& [host, peer] : context.inputs.members.members)
     {
-        if (known.state == member_state::alive ||
-            known.state == member_state::suspect)
+        if (peer.state == member_state::alive ||
+            peer.state == member_state::suspect)
         {
             context.actions.messages.push_back(
                 {host, message_kind::rates, transport::datagram, payload});
@@ -140,14 +140,14 @@
             others[id] += per_second;
         }
     }
-    const std::size_t known =
+    const std::size_t known_hosts =
         std::max(reporting_hosts, count_other_hosts(context) + 1);
     const bool is_starting_alone =
         context.now - demand.started_at < startup_time && reporting_hosts == 1;
     for (const auto& [id, workspace] : context.state.workspaces)
     {
         const double assumed =
-            assumed_demand * workspace.rate / static_cast<double>(known);
+            assumed_demand * workspace.rate / static_cast<double>(known_hosts);
         const auto reported = demand.reported.find(id);
         const double own_demand =
             reported == demand.reported.end() ? 0.0 : reported->second;
@@ -158,7 +158,7 @@
                       {own_demand + assumed,
                        others[id] +
                            assumed * static_cast<double>(reporting_hosts - 1),
-                       reporting_hosts, known});
+                       reporting_hosts, known_hosts});
         const auto [per_second, capacity] = spread_burst(
             workspace.rate, workspace.burst,
             {context.state.settings.window, context.state.settings.overage,
@@ -176,11 +176,12 @@
 
 double demand_share(const share_inputs& inputs)
 {
-    const double side = static_cast<double>(inputs.hosts_reporting) /
-                        static_cast<double>(inputs.hosts_known);
+    const double reachable_part = static_cast<double>(inputs.hosts_reporting) /
+                                  static_cast<double>(inputs.hosts_known);
     const double all = inputs.own_demand + inputs.other_demand;
-    return all <= 0.0 ? side / static_cast<double>(inputs.hosts_reporting)
-                      : side * inputs.own_demand / all;
+    return all <= 0.0
+               ? reachable_part / static_cast<double>(inputs.hosts_reporting)
+               : reachable_part * inputs.own_demand / all;
 }
 
 spread_rate
--- a/src/core/rates/lending.cpp
+++ b/src/core/rates/lending.cpp
@@ -25,10 +25,10 @@
     return std::max(0.0, std::min(bucket.tokens, room));
 }
 
-bool is_usable(const inbound_loan& lot, time_point now)
+bool is_usable(const inbound_loan& loan, time_point now)
 {
-    return !lot.closed && lot.tokens > 0.0 &&
-           lot.expires_at - now >= min_lendable_term;
+    return !loan.closed && loan.tokens > 0.0 &&
+           loan.expires_at - now >= min_lendable_term;
 }
 
 void sample_local_rate(lender_bucket& bucket, time_point now)
@@ -44,10 +44,10 @@
     bucket.rate_sampled_at = now;
 }
 
-inbound_loan* find_inbound_loan(lender_bucket& bucket, std::uint64_t loan)
+inbound_loan* find_inbound_loan(lender_bucket& bucket, std::uint64_t loan_id)
 {
-    const auto found =
-        std::ranges::find(bucket.inbound_loans, loan, &inbound_loan::loan);
+    const auto found = std::ranges::find(
+        bucket.inbound_loans, loan_id, &inbound_loan::loan_id);
     return found == bucket.inbound_loans.end() ? nullptr : &*found;
 }
 
@@ -56,18 +56,18 @@
 void settle_tokens(
     lender_bucket& bucket, loan_record& record, double resolved, bool is_used)
 {
-    for (auto& [loan, amount] : record.borrowed)
+    for (auto& [loan_id, amount] : record.borrowed)
     {
         const double part = std::min(amount, resolved);
         amount -= part;
         resolved -= part;
-        inbound_loan* const lot = find_inbound_loan(bucket, loan);
-        if (lot == nullptr)
+        inbound_loan* const loan = find_inbound_loan(bucket, loan_id);
+        if (loan == nullptr)
         {
             continue;
         }
-        lot->lent_on = std::max(0.0, lot->lent_on - part);
-        (is_used ? lot->used : lot->tokens) += part;
+        loan->lent_on = std::max(0.0, loan->lent_on - part);
+        (is_used ? loan->used : loan->tokens) += part;
     }
     const double part = std::min(record.own, resolved);
     record.own -= part;
@@ -104,8 +104,8 @@
 }
 
 loan_offer lend_to_host(
-    lender_bucket& bucket, const lending_limits& limits, host_id to,
-    std::uint64_t loan, double wanted, duration term, time_point now)
+    lender_bucket& bucket, const lending_limits& limits, host_id borrower,
+    std::uint64_t loan_id, double wanted, duration term, time_point now)
 {
     refill_lender(bucket, limits, now);
     const double amount = std::floor(
@@ -113,43 +113,44 @@
         token_epsilon);
     if (amount < wanted)
     {
-        bucket.unmet[to] = {wanted - amount, now};
+        bucket.unmet[borrower] = {wanted - amount, now};
     }
     else
     {
-        bucket.unmet.erase(to);
+        bucket.unmet.erase(borrower);
     }
     if (amount < 1.0)
     {
         return {};
     }
-    loan_record record{to, amount, 0.0, {}, 0.0, now + grantor_term(term)};
+    loan_record record{borrower, amount, 0.0,
+                       {},       0.0,    now + grantor_term(term)};
     duration offered = term;
     double left = amount;
-    for (auto& lot : bucket.inbound_loans)
+    for (auto& loan : bucket.inbound_loans)
     {
-        if (left <= 0.0 || !is_usable(lot, now))
+        if (left <= 0.0 || !is_usable(loan, now))
         {
             continue;
         }
-        const double part = std::min(left, lot.tokens);
-        lot.tokens -= part;
-        lot.lent_on += part;
+        const double part = std::min(left, loan.tokens);
+        loan.tokens -= part;
+        loan.lent_on += part;
         left -= part;
-        record.borrowed.push_back({lot.loan, part});
-        offered = std::min(offered, holder_term(lot.expires_at - now));
+        record.borrowed.push_back({loan.loan_id, part});
+        offered = std::min(offered, holder_term(loan.expires_at - now));
     }
     record.own = std::max(0.0, left);
     bucket.tokens = std::max(0.0, bucket.tokens - record.own);
     bucket.lent += record.own;
     bucket.lent_since += amount;
-    bucket.loans.emplace(loan, std::move(record));
+    bucket.loans.emplace(loan_id, std::move(record));
     return {amount, offered};
 }
 
 loan_offer lend_to_data_centre(
-    lender_bucket& bucket, const lending_limits& limits, host_id to,
-    std::uint64_t loan, double wanted, duration term, time_point now)
+    lender_bucket& bucket, const lending_limits& limits, host_id borrower,
+    std::uint64_t loan_id, double wanted, duration term, time_point now)
 {
     refill_lender(bucket, limits, now);
     const double reserve = bucket.local_rate * to_seconds(reserve_time);
@@ -162,17 +163,18 @@
     bucket.tokens -= amount;
     bucket.lent += amount;
     bucket.loans.emplace(
-        loan,
-        loan_record{to, amount, amount, {}, 0.0, now + grantor_term(term)});
+        loan_id,
+        loan_record{
+            borrower, amount, amount, {}, 0.0, now + grantor_term(term)});
     return {amount, term};
 }
 
 void settle_loan(
-    lender_bucket& bucket, host_id from, std::uint64_t loan, double used,
+    lender_bucket& bucket, host_id from, std::uint64_t loan_id, double used,
     bool closed)
 {
-    const auto found = bucket.loans.find(loan);
-    if (found == bucket.loans.end() || found->second.to != from)
+    const auto found = bucket.loans.find(loan_id);
+    if (found == bucket.loans.end() || found->second.borrower != from)
     {
         return;
     }
@@ -203,15 +205,15 @@
     }
     std::erase_if(
         bucket.inbound_loans,
-        [now](const inbound_loan& lot)
+        [now](const inbound_loan& loan)
         {
-            return lot.expires_at <= now;
+            return loan.expires_at <= now;
         });
-    for (auto& lot : bucket.inbound_loans)
+    for (auto& loan : bucket.inbound_loans)
     {
         const bool done =
-            lot.tokens <= token_epsilon || lot.expires_at < close_before;
-        lot.closed = lot.closed || (done && lot.lent_on <= token_epsilon);
+            loan.tokens <= token_epsilon || loan.expires_at < close_before;
+        loan.closed = loan.closed || (done && loan.lent_on <= token_epsilon);
     }
 }
 
@@ -219,9 +221,9 @@
     const lender_bucket& bucket, const lending_limits& limits, time_point now)
 {
     double amount = own_lendable(bucket, limits);
-    for (const auto& lot : bucket.inbound_loans)
+    for (const auto& loan : bucket.inbound_loans)
     {
-        amount += is_usable(lot, now) ? lot.tokens : 0.0;
+        amount += is_usable(loan, now) ? loan.tokens : 0.0;
     }
     return amount;
 }
--- a/src/core/rates/lending.hpp
+++ b/src/core/rates/lending.hpp
@@ -16,7 +16,7 @@
 // Tokens borrowed from another data centre, to be lent on.
 struct inbound_loan
 {
-    std::uint64_t loan = 0;
+    std::uint64_t loan_id = 0;
     host_id lender = host_id::none;
     data_centre_id data_centre = data_centre_id::none;
     double tokens = 0.0;
@@ -30,13 +30,13 @@
 
 struct inbound_loan_part
 {
-    std::uint64_t loan = 0;
+    std::uint64_t loan_id = 0;
     double amount = 0.0;
 };
 
 struct loan_record
 {
-    host_id to = host_id::none;
+    host_id borrower = host_id::none;
     double amount = 0.0;
     // Of `amount`, what came from the bucket itself.
     double own = 0.0;
@@ -92,18 +92,18 @@
 
 // Lends whole tokens to a host of this data centre; borrowed ones first.
 [[nodiscard]] loan_offer lend_to_host(
-    lender_bucket& bucket, const lending_limits& limits, host_id to,
-    std::uint64_t loan, double wanted, duration term, time_point now);
+    lender_bucket& bucket, const lending_limits& limits, host_id borrower,
+    std::uint64_t loan_id, double wanted, duration term, time_point now);
 
 // Lends own tokens to the steward of another data centre, as far as this one
 // does not need them itself.
 [[nodiscard]] loan_offer lend_to_data_centre(
-    lender_bucket& bucket, const lending_limits& limits, host_id to,
-    std::uint64_t loan, double wanted, duration term, time_point now);
+    lender_bucket& bucket, const lending_limits& limits, host_id borrower,
+    std::uint64_t loan_id, double wanted, duration term, time_point now);
 
 // Takes in what became of a loan; safe to repeat.
 void settle_loan(
-    lender_bucket& bucket, host_id from, std::uint64_t loan, double used,
+    lender_bucket& bucket, host_id from, std::uint64_t loan_id, double used,
     bool closed);
 
 // Ends loans and inbound_loans whose time has passed, and closes inbound_loans
--- a/src/core/rates/loans.cpp
+++ b/src/core/rates/loans.cpp
@@ -58,15 +58,15 @@
 {
     const auto& weight_leases = context.state.weight_leases;
     const granted_weight_lease& granted = weight_leases.granted[shard];
-    return granted.ends_at > context.now ? granted.to
+    return granted.ends_at > context.now ? granted.holder
                                          : weight_leases.winners[shard];
 }
 
 bool is_request_due(const workspace_demand& demand, time_point now)
 {
-    const bool under_way =
+    const bool is_pending =
         demand.request != 0 && now - demand.requested_at < request_timeout;
-    return !under_way && now >= demand.next_request_at;
+    return !is_pending && now >= demand.next_request_at;
 }
 
 // Adds what this host has to say about one workspace to the requests.
@@ -94,11 +94,11 @@
     const time_point close_before =
         state.leaving ? time_point::max()
                       : context.now + state.settings.loan_term / 4;
-    for (const auto& [loan, lender, used, closed] : report_token_loans(
+    for (const auto& [loan_id, lender, used, closed] : report_token_loans(
              context.inputs.limiter, id, close_before, context.now))
     {
         add_settlement(
-            request_to(context, requests, lender, false), id, loan, used,
+            request_to(context, requests, lender, false), id, loan_id, used,
             closed);
     }
     if (is_requesting)
@@ -148,11 +148,11 @@
 
 void add_settlement(
     wire_rates::loan_request_data& request, workspace_id workspace,
-    std::uint64_t loan, double used, bool closed)
+    std::uint64_t loan_id, double used, bool closed)
 {
     auto settlement = std::make_unique<wire_rates::loan_settlement_data>();
     settlement->workspace = static_cast<std::uint64_t>(workspace);
-    settlement->loan = loan;
+    settlement->loan = loan_id;
     settlement->used = used;
     settlement->closed = closed;
     request.settlements.push_back(std::move(settlement));
@@ -243,18 +243,18 @@
             bucket.refilled_at = context.now;
         }
         const auto limits = limits_of(context, shard, id);
-        const std::uint64_t loan = ++state.loans.last_loan;
+        const std::uint64_t loan_id = ++state.loans.last_loan;
         const loan_offer offer =
             in.between_data_centres
                 ? lend_to_data_centre(
-                      bucket, limits, from, loan, item->wanted,
+                      bucket, limits, from, loan_id, item->wanted,
                       state.settings.data_centre_loan_term, context.now)
                 : lend_to_host(
-                      bucket, limits, from, loan, item->wanted,
+                      bucket, limits, from, loan_id, item->wanted,
                       state.settings.loan_term, context.now);
         auto grant = std::make_unique<wire_rates::loan_grant_data>();
         grant->workspace = item->workspace;
-        grant->loan = loan;
+        grant->loan = loan_id;
         grant->amount = offer.amount;
         grant->term_us = to_microseconds(offer.term);
         grant->retry_after_us = to_microseconds(retry_delay(
@@ -280,9 +280,9 @@
         on_remote_loan_reply(context, from, sent, in);
         return;
     }
-    for (const auto& [workspace, loan] : sent.closed)
+    for (const auto& [workspace, loan_id] : sent.closed)
     {
-        drop_token_loan(context.inputs.limiter, workspace, loan);
+        drop_token_loan(context.inputs.limiter, workspace, loan_id);
     }
     for (auto& [id, demand] : state.loans.demand)
     {
--- a/src/core/rates/loans.hpp
+++ b/src/core/rates/loans.hpp
@@ -50,7 +50,7 @@
 struct closed_loan
 {
     workspace_id workspace = workspace_id::none;
-    std::uint64_t loan = 0;
+    std::uint64_t loan_id = 0;
 };
 
 // A request to a lender that has not been answered.
--- a/src/core/rates/rate_limiter.cpp
+++ b/src/core/rates/rate_limiter.cpp
@@ -32,13 +32,13 @@
 
 bool take_one(token_bucket& bucket, time_point now)
 {
-    for (auto& lot : bucket.token_loans)
+    for (auto& loan : bucket.token_loans)
     {
-        if (!lot.closed && now < lot.expires_at &&
-            lot.tokens >= 1.0 - token_epsilon)
+        if (!loan.closed && now < loan.expires_at &&
+            loan.tokens >= 1.0 - token_epsilon)
         {
-            lot.tokens = std::max(0.0, lot.tokens - 1.0);
-            lot.used += 1.0;
+            loan.tokens = std::max(0.0, loan.tokens - 1.0);
+            loan.used += 1.0;
             bucket.admitted += 1.0;
             return true;
         }
@@ -228,13 +228,13 @@
 }
 
 void add_token_loan(
-    rate_limiter& limiter, workspace_id workspace, token_loan lot)
+    rate_limiter& limiter, workspace_id workspace, token_loan loan)
 {
     const std::scoped_lock lock(limiter.mutex);
     if (const auto found = limiter.buckets.find(workspace);
         found != limiter.buckets.end())
     {
-        found->second.token_loans.push_back(lot);
+        found->second.token_loans.push_back(loan);
     }
 }
 
@@ -252,11 +252,11 @@
     refill(bucket, now);
     demand.waiting = static_cast<double>(bucket.waiters.size());
     demand.available = bucket.tokens;
-    for (const auto& lot : bucket.token_loans)
+    for (const auto& loan : bucket.token_loans)
     {
-        if (!lot.closed && now < lot.expires_at)
+        if (!loan.closed && now < loan.expires_at)
         {
-            demand.available += lot.tokens;
+            demand.available += loan.tokens;
         }
     }
     demand.arrivals = bucket.arrivals;
@@ -278,27 +278,28 @@
     auto& token_loans = found->second.token_loans;
     std::erase_if(
         token_loans,
-        [now](const token_loan& lot)
+        [now](const token_loan& loan)
         {
-            return lot.expires_at <= now;
+            return loan.expires_at <= now;
         });
-    for (auto& lot : token_loans)
+    for (auto& loan : token_loans)
     {
-        if (lot.tokens < 1.0 - token_epsilon || lot.expires_at < close_before)
+        if (loan.tokens < 1.0 - token_epsilon || loan.expires_at < close_before)
         {
-            lot.closed = true;
+            loan.closed = true;
         }
-        if (lot.closed || lot.used > lot.reported_used)
+        if (loan.closed || loan.used > loan.reported_used)
         {
-            reports.push_back({lot.loan, lot.lender, lot.used, lot.closed});
-            lot.reported_used = lot.used;
+            reports.push_back(
+                {loan.loan_id, loan.lender, loan.used, loan.closed});
+            loan.reported_used = loan.used;
         }
     }
     return reports;
 }
 
 void drop_token_loan(
-    rate_limiter& limiter, workspace_id workspace, std::uint64_t loan)
+    rate_limiter& limiter, workspace_id workspace, std::uint64_t loan_id)
 {
     const std::scoped_lock lock(limiter.mutex);
     if (const auto found = limiter.buckets.find(workspace);
@@ -306,9 +307,9 @@
     {
         std::erase_if(
             found->second.token_loans,
-            [loan](const token_loan& lot)
+            [loan_id](const token_loan& loan)
             {
-                return lot.loan == loan && lot.closed;
+                return loan.loan_id == loan_id && loan.closed;
             });
     }
 }
--- a/src/core/rates/rate_limiter.hpp
+++ b/src/core/rates/rate_limiter.hpp
@@ -51,7 +51,7 @@
 // Tokens lent to this node by a steward. Unused ones end with the loan.
 struct token_loan
 {
-    std::uint64_t loan = 0;
+    std::uint64_t loan_id = 0;
     host_id lender = host_id::none;
     double tokens = 0.0;
     double used = 0.0;
@@ -156,7 +156,7 @@
     const own_allowance& allowance, time_point now);
 
 void add_token_loan(
-    rate_limiter& limiter, workspace_id workspace, token_loan lot);
+    rate_limiter& limiter, workspace_id workspace, token_loan loan);
 
 // What the control thread needs to know to ask ahead.
 struct token_demand
@@ -173,7 +173,7 @@
 // A lot whose lender has something new to learn.
 struct token_loan_report
 {
-    std::uint64_t loan = 0;
+    std::uint64_t loan_id = 0;
     host_id lender = host_id::none;
     double used = 0.0;
     bool closed = false;
@@ -188,6 +188,6 @@
 
 // The lender has taken in a report of a closed lot.
 void drop_token_loan(
-    rate_limiter& limiter, workspace_id workspace, std::uint64_t loan);
+    rate_limiter& limiter, workspace_id workspace, std::uint64_t loan_id);
 
 } // namespace cyclamenhold
--- a/src/core/rates/remote_loans.cpp
+++ b/src/core/rates/remote_loans.cpp
@@ -78,16 +78,16 @@
         return;
     }
     bucket.reported_at = context.now;
-    for (auto& lot : bucket.inbound_loans)
+    for (auto& loan : bucket.inbound_loans)
     {
-        if (!lot.closed && lot.used <= lot.reported_used)
+        if (!loan.closed && loan.used <= loan.reported_used)
         {
             continue;
         }
-        lot.reported_used = lot.used;
+        loan.reported_used = loan.used;
         add_settlement(
-            request_to(context, requests, lot.lender, true), id, lot.loan,
-            lot.used, lot.closed);
+            request_to(context, requests, loan.lender, true), id, loan.loan_id,
+            loan.used, loan.closed);
     }
 }
 
@@ -152,16 +152,16 @@
     const wire_rates::loan_reply_data& in)
 {
     rates_state& state = context.state;
-    for (const auto& [workspace, loan] : sent.closed)
+    for (const auto& [workspace, loan_id] : sent.closed)
     {
         auto& buckets = state.weight_leases.held[shard_of(workspace)].buckets;
         if (const auto found = buckets.find(workspace); found != buckets.end())
         {
             std::erase_if(
                 found->second.inbound_loans,
-                [loan = loan](const inbound_loan& lot)
+                [loan_id = loan_id](const inbound_loan& loan)
                 {
-                    return lot.loan == loan && lot.closed;
+                    return loan.loan_id == loan_id && loan.closed;
                 });
         }
     }
@@ -185,12 +185,12 @@
         }
         lender.back_off = {};
         lender.next_request_at = context.now + request_interval;
-        inbound_loan lot;
-        lot.loan = (*grant)->loan;
-        lot.lender = from;
-        lot.data_centre = key.data_centre;
-        lot.tokens = (*grant)->amount;
-        lot.expires_at =
+        inbound_loan loan;
+        loan.loan_id = (*grant)->loan;
+        loan.lender = from;
+        loan.data_centre = key.data_centre;
+        loan.tokens = (*grant)->amount;
+        loan.expires_at =
             sent.requested_at + from_microseconds((*grant)->term_us);
         auto& held = state.weight_leases.held[shard_of(key.workspace)];
         auto [entry, added] = held.buckets.try_emplace(key.workspace);
@@ -198,7 +198,7 @@
         {
             entry->second.refilled_at = context.now;
         }
-        entry->second.inbound_loans.push_back(lot);
+        entry->second.inbound_loans.push_back(loan);
     }
 }
 
--- a/src/core/rates/remote_loans.hpp
+++ b/src/core/rates/remote_loans.hpp
@@ -34,7 +34,7 @@
     double wanted);
 void add_settlement(
     wire::rates::loan_request_data& request, workspace_id workspace,
-    std::uint64_t loan, double used, bool closed);
+    std::uint64_t loan_id, double used, bool closed);
 
 // Adds a steward's requests to stewards of other data centres.
 void tick_remote_loans(rates_context& context, loan_requests& requests);
--- a/src/core/rates/roster_maintenance.cpp
+++ b/src/core/rates/roster_maintenance.cpp
@@ -102,12 +102,12 @@
     }
     // A host that majorities refuse, though the platform still lists it,
     // writes the roster anew, which ends the refusals.
-    const bool refused = is_on_roster(context) && hosts.is_roster_current &&
-                         hosts.platform_read_at > hosts.rewritten_at &&
-                         context.now - hosts.rewritten_at >
-                             context.state.settings.removal_time / 2 &&
-                         peer_contact_expires_at(context) < context.now;
-    if (refused)
+    const bool is_refused = is_on_roster(context) && hosts.is_roster_current &&
+                            hosts.platform_read_at > hosts.rewritten_at &&
+                            context.now - hosts.rewritten_at >
+                                context.state.settings.removal_time / 2 &&
+                            peer_contact_expires_at(context) < context.now;
+    if (is_refused)
     {
         hosts.rewritten_at = context.now;
         write_roster(context, with_members(hosts.known, {}));
@@ -137,10 +137,10 @@
     {
         return;
     }
-    const bool settled = is_active(context) && !is_contact_expiring(context);
+    const bool is_settled = is_active(context) && !is_contact_expiring(context);
     hosts.next_query_at =
-        context.now + (settled ? state.settings.removal_time / 8
-                               : duration(quick_query_interval));
+        context.now + (is_settled ? state.settings.removal_time / 8
+                                  : duration(quick_query_interval));
     hosts.query = ++hosts.last_id;
     hosts.queried_at = context.now;
     wire_rates::roster_query_data query;
--- a/src/core/rates/weight_lease_grants.cpp
+++ b/src/core/rates/weight_lease_grants.cpp
@@ -13,20 +13,20 @@
 
 // Gives the weight of the shards to `to` where it is free or already there.
 std::uint32_t grant_weight_leases(
-    rates_context& context, host_id to,
+    rates_context& context, host_id holder,
     const wire_rates::pledge_request_data& in)
 {
     rates_state& state = context.state;
     const std::uint32_t wanted = in.shards & all_shards;
-    std::uint32_t granted = 0;
+    std::uint32_t granted_shards = 0;
     for (std::uint32_t shard = 0; shard < shard_count; ++shard)
     {
         granted_weight_lease& weight_lease = state.weight_leases.granted[shard];
-        const bool held = weight_lease.to == to &&
-                          weight_lease.holder_incarnation == in.incarnation;
-        const bool free = weight_lease.ends_at <= context.now || held;
-        if ((wanted >> shard & 1U) == 0 || !free ||
-            state.weight_leases.winners[shard] != to)
+        const bool is_held = weight_lease.holder == holder &&
+                             weight_lease.holder_incarnation == in.incarnation;
+        const bool is_free = weight_lease.ends_at <= context.now || is_held;
+        if ((wanted >> shard & 1U) == 0 || !is_free ||
+            state.weight_leases.winners[shard] != holder)
         {
             continue;
         }
@@ -38,15 +38,15 @@
                                            : weight_lease.index;
             weight_lease.older_ends_at = weight_lease.ends_at;
         }
-        weight_lease.to = to;
+        weight_lease.holder = holder;
         weight_lease.holder_incarnation = in.incarnation;
         weight_lease.round = in.round;
         weight_lease.index = state.hosts.known.index;
         weight_lease.ends_at = context.now + grantor_term(state.settings.term);
-        granted |= 1U << shard;
+        granted_shards |= 1U << shard;
         state.weights_changed = true;
     }
-    return granted;
+    return granted_shards;
 }
 
 } // namespace
@@ -158,7 +158,7 @@
             context.state.weight_leases.granted[shard];
         const bool is_same_incarnation = weight_lease.round >= in.first_round &&
                                          weight_lease.round <= in.last_round;
-        if ((in.shards >> shard & 1U) != 0 && weight_lease.to == from &&
+        if ((in.shards >> shard & 1U) != 0 && weight_lease.holder == from &&
             is_same_incarnation)
         {
             weight_lease.ends_at = std::min(weight_lease.ends_at, context.now);
--- a/src/core/rates/weight_leases.cpp
+++ b/src/core/rates/weight_leases.cpp
@@ -107,24 +107,22 @@
 void request_weight_leases(rates_context& context)
 {
     rates_state& state = context.state;
-    weight_lease_state& weight_leases = state.weight_leases;
+    weight_lease_state& leases = state.weight_leases;
     const std::uint32_t shards = own_shards(context);
-    if (context.now < weight_leases.next_round_at || shards == 0 ||
-        state.leaving)
+    if (context.now < leases.next_round_at || shards == 0 || state.leaving)
     {
         return;
     }
-    weight_leases.next_round_at =
-        context.now + (is_fully_leased(context, shards)
-                           ? state.settings.term / 3
-                           : duration(quick_round_interval));
-    weight_leases.rounds.push_back({++weight_leases.last_round, context.now});
-    if (weight_leases.rounds.size() > max_rounds)
+    leases.next_round_at = context.now + (is_fully_leased(context, shards)
+                                              ? state.settings.term / 3
+                                              : duration(quick_round_interval));
+    leases.rounds.push_back({++leases.last_round, context.now});
+    if (leases.rounds.size() > max_rounds)
     {
-        weight_leases.rounds.pop_front();
+        leases.rounds.pop_front();
     }
     wire_rates::pledge_request_data request;
-    request.round = weight_leases.last_round;
+    request.round = leases.last_round;
     request.shards = shards;
     request.incarnation = context.inputs.members.self_incarnation;
     request.index = state.hosts.known.index;
@@ -208,23 +206,22 @@
 
 void update_winners(rates_context& context)
 {
-    weight_lease_state& weight_leases = context.state.weight_leases;
+    weight_lease_state& leases = context.state.weight_leases;
     const std::uint64_t version =
         context.inputs.members.version * 2 + (context.state.leaving ? 1 : 0);
-    if (weight_leases.winners_version == version + 1 &&
-        weight_leases.winners_index == context.state.hosts.known.index)
+    if (leases.winners_version == version + 1 &&
+        leases.winners_index == context.state.hosts.known.index)
     {
         return;
     }
-    weight_leases.winners_version = version + 1;
-    weight_leases.winners_index = context.state.hosts.known.index;
+    leases.winners_version = version + 1;
+    leases.winners_index = context.state.hosts.known.index;
     const auto hosts = candidates(context);
     for (std::uint32_t shard = 0; shard < shard_count; ++shard)
     {
-        weight_leases.winners[shard] = rendezvous_winner(shard, hosts);
+        leases.winners[shard] = rendezvous_winner(shard, hosts);
     }
-    weight_leases.next_round_at =
-        std::min(weight_leases.next_round_at, context.now);
+    leases.next_round_at = std::min(leases.next_round_at, context.now);
 }
 
 bool has_majority(const rates_state& state, std::uint32_t shard, time_point now)
@@ -322,17 +319,16 @@
     const wire_rates::pledge_reply_data& in)
 {
     rates_state& state = context.state;
-    weight_lease_state& weight_leases = state.weight_leases;
+    weight_lease_state& leases = state.weight_leases;
     state.hosts.floor = std::max(state.hosts.floor, in.floor);
     record_epochs(context, from, in.epochs, false);
-    const auto round = std::ranges::find(
-        weight_leases.rounds, in.round, &weight_lease_round::round);
-    if (round == weight_leases.rounds.end() ||
-        !contains(state.hosts.known, from))
+    const auto round =
+        std::ranges::find(leases.rounds, in.round, &weight_lease_round::round);
+    if (round == leases.rounds.end() || !contains(state.hosts.known, from))
     {
         return;
     }
-    member_report& report = weight_leases.reports[from];
+    member_report& report = leases.reports[from];
     if (round->requested_at >= report.requested_at)
     {
         report = {in.confirmed, round->requested_at};
@@ -355,7 +351,7 @@
             continue;
         }
         drop_expired_leases(context, shard);
-        held_weight_lease& held = weight_leases.held[shard].weight_leases[from];
+        held_weight_lease& held = leases.held[shard].weight_leases[from];
         if (valid_until > held.valid_until)
         {
             held = {in.parts, in.index, valid_until};
@@ -367,21 +363,21 @@
 void release_weight_leases(rates_context& context)
 {
     rates_state& state = context.state;
-    weight_lease_state& weight_leases = state.weight_leases;
+    weight_lease_state& leases = state.weight_leases;
     wire_rates::pledge_release_data release;
-    release.first_round = weight_leases.first_round;
-    release.last_round = weight_leases.last_round;
+    release.first_round = leases.first_round;
+    release.last_round = leases.last_round;
     std::set<host_id> grantors;
     for (std::uint32_t shard = 0; shard < shard_count; ++shard)
     {
-        stewardship& held = weight_leases.held[shard];
-        const bool lent = std::ranges::any_of(
+        stewardship& held = leases.held[shard];
+        const bool is_lent = std::ranges::any_of(
             held.buckets,
             [](const auto& entry)
             {
                 return !entry.second.loans.empty();
             });
-        if (lent || held.weight_leases.empty())
+        if (is_lent || held.weight_leases.empty())
         {
             continue;
         }
@@ -393,7 +389,7 @@
         held = {};
     }
     // Replies that are still on their way are met by no round.
-    weight_leases.rounds.clear();
+    leases.rounds.clear();
     for (const host_id host : grantors)
     {
         send_rates_message(context, host, release);
--- a/src/core/rates/weight_leases.hpp
+++ b/src/core/rates/weight_leases.hpp
@@ -21,7 +21,7 @@
 // A member's side of one shard.
 struct granted_weight_lease
 {
-    host_id to = host_id::none;
+    host_id holder = host_id::none;
     // The life of the receiver; a later one has to wait for the end.
     incarnation holder_incarnation = 0;
     std::uint64_t round = 0;
