--- a/src/core/rates/demand_shares.hpp
+++ b/src/core/rates/demand_shares.hpp
@@ -1,7 +1,7 @@
-// Demand-proportional shares: each host tells all others what callers ask of
-// it, and takes the part of every rate that its demand has of all demand. A
-// side that is cut off from others keeps only the part of the rate that its
-// hosts are of all hosts, so that the sides together stay inside the rate.
+// Demand-proportional shares: each host reports its callers' demand to all
+// others and uses the part of every rate that its demand is of all demand. In a
+// network partition, each side uses only the part of the rate that its hosts
+// are of all hosts, so that the sides together stay within the rate.
 #pragma once
 
 #include "core/base/ids.hpp"
@@ -18,6 +18,7 @@
 // Requests a second, by workspace.
 using demand_by_workspace = std::map<workspace_id, double>;
 
+// The last demand report of another host.
 struct peer_demand
 {
     time_point received_at{};
@@ -27,8 +28,8 @@
 struct demand_share_state
 {
     demand_by_workspace own;
-    // What the others were reported last. Shares go by this, so that all hosts
-    // divide by the same figures and their shares add up to one.
+    // Own demand as last reported to the others. Shares are computed from it,
+    // so that all hosts use the same values and their shares add up to one.
     demand_by_workspace reported;
     std::map<host_id, peer_demand> peers;
     time_point started_at{};
@@ -36,36 +37,40 @@
     time_point next_report_at{};
 };
 
-// Reports between two hosts come this often.
+// Interval of demand reports to each other host.
 constexpr duration demand_report_interval = 500ms;
-// A host not heard from for so long may serve callers on another side of a
-// cut: six reports in a row were lost.
+// A host without a report for this time (six reports in a row are lost) may be
+// serving callers on the other side of a network partition.
 constexpr duration demand_report_timeout = 3s;
-// A host that is held to be dead for so long serves nobody.
+// A member in the state `dead` for this time is considered to serve no callers.
 constexpr duration dead_host_timeout = 20s;
-// What a host that knows of no other may use of each rate until it has had
-// time to hear of them.
+// The part of each rate that a starting host uses for the first `startup_time`,
+// while it has no report of another host.
 constexpr double startup_share = 0.125;
 constexpr duration startup_time = 2s;
 
-// The part of a rate that a host may use.
+// Demands in requests a second.
 struct share_inputs
 {
     double own_demand = 0.0;
-    // Of the other hosts that were heard lately.
+    // Of the other hosts with a recent report.
     double other_demand = 0.0;
+    // Both counts include this host.
     std::size_t hosts_reporting = 1;
     std::size_t hosts_known = 1;
 };
+// The part of a rate that a host may use, in [0, 1].
 [[nodiscard]] double demand_share(const share_inputs& inputs);
 
-// Tokens a second and at most, such that no window sees more than rate x
-// window + burst, and the part of the tolerance that is given to the depth of
-// the buckets. Shallow buckets of many hosts would refuse callers who come
-// inside the rate but in no even rhythm.
+// Refill rate and capacity of the buckets of all hosts together. No window
+// admits more than rate x window + burst, plus a part of the tolerance. That
+// part goes into the capacity: shallow buckets at many hosts would refuse
+// callers who stay within the rate but arrive irregularly.
 struct spread_rate
 {
+    // Tokens a second.
     double per_second = 0.0;
+    // Tokens.
     double capacity = 0.0;
 };
 struct rate_tolerance
@@ -78,7 +83,9 @@
 [[nodiscard]] spread_rate
 spread_burst(double rate, double burst, const rate_tolerance& tolerance);
 
+// Samples and reports this host's demand and sets the limiter's allowances.
 void tick_demand_shares(rates_context& context);
+// When tick_demand_shares is due next.
 [[nodiscard]] time_point demand_shares_due(const rates_state& state);
 
 } // namespace cyclamenhold
--- a/src/core/rates/lease_terms.hpp
+++ b/src/core/rates/lease_terms.hpp
@@ -1,4 +1,5 @@
-// Terms of pledges and loans, and tokens over time, on clocks that drift.
+// Terms of leases and loans, and tokens earned over time, with allowance for
+// clock drift between hosts.
 #pragma once
 
 #include "core/base/time.hpp"
@@ -6,26 +7,28 @@
 namespace cyclamenhold
 {
 
-// Clocks run at most this much too fast or too slow.
+// Largest rate error of a host's clock, as a fraction.
 constexpr double max_clock_drift = 200e-6;
 
-// What a giver adds to a term. Covers a giver's fast clock against a
-// receiver's slow one: (1 + x) / (1 + d) >= 1 / (1 - d).
+// The fraction of a term by which a grantor extends it. It covers a fast clock
+// at the grantor and a slow one at the holder: with the drift d and the margin
+// x, (1 + x) / (1 + d) >= 1 / (1 - d).
 constexpr double grantor_margin = 500e-6;
 
-// How long a giver counts a term that its receiver counts as `term`.
+// The term by a grantor's clock of a lease that its holder uses for `term`.
 [[nodiscard]] inline duration grantor_term(duration term)
 {
     return from_seconds(to_seconds(term) * (1.0 + grantor_margin)) + 1us;
 }
 
-// How long a receiver may use what a giver holds for `left`.
+// The term by a holder's clock of a lease that its grantor honours for `left`.
 [[nodiscard]] inline duration holder_term(duration left)
 {
     return from_seconds(to_seconds(left) * (1.0 - grantor_margin)) - 1us;
 }
 
-// Tokens that a rate earns, never more than in true time.
+// Tokens that a rate earns in `elapsed`, reduced by the largest clock drift so
+// that they are never more than in true time.
 [[nodiscard]] inline double tokens_earned(double rate, duration elapsed)
 {
     return rate * to_seconds(elapsed) * (1.0 - max_clock_drift);
--- a/src/core/rates/loans.hpp
+++ b/src/core/rates/loans.hpp
@@ -1,5 +1,5 @@
-// Asking for loans: a host of its steward, and a steward of the stewards of
-// other data centres.
+// The borrower's side of loans: a host borrows from its steward, and a steward
+// from the stewards of other data centres.
 #pragma once
 
 #include "core/base/ids.hpp"
@@ -14,22 +14,25 @@
 
 struct rates_context;
 
-// What a host knows of its own demand for one workspace.
+// A host's own demand for one workspace.
 struct workspace_demand
 {
+    // Arrivals a second, smoothed.
     double rate = 0.0;
     time_point sampled_at{};
+    // Since `sampled_at`.
     double arrivals = 0.0;
-    // The request under way, 0 when there is none.
+    // Id of the pending request; 0 when there is none.
     std::uint64_t request = 0;
     time_point requested_at{};
     time_point next_request_at{};
     time_point reported_at{};
 };
 
-// What a steward knows of another data centre as a lender of one workspace.
+// A steward's requests to another data centre for one workspace.
 struct remote_lender
 {
+    // Id of the pending request; 0 when there is none.
     std::uint64_t request = 0;
     time_point requested_at{};
     time_point next_request_at{};
@@ -53,12 +56,12 @@
     std::uint64_t loan_id = 0;
 };
 
-// A request to a lender that has not been answered.
+// A request to a lender that is not answered yet.
 struct sent_request
 {
     time_point requested_at{};
     bool between_data_centres = false;
-    // Loans reported closed in it.
+    // Loans that the request reports as closed.
     std::vector<closed_loan> closed;
 };
 
@@ -69,13 +72,15 @@
     std::map<std::uint64_t, sent_request> sent;
     std::uint64_t last_request = 0;
     std::uint64_t last_loan = 0;
+    // Tokens are needed; ticks come at the short interval.
     bool busy = false;
 };
 
-// Tells the limiter what this host's own weight is worth.
+// Sets the limiter's allowances to the rates and bursts of this host's own
+// weight.
 void set_allowances(rates_context& context);
 
-// Sets the limiter's own allowances, reports loans and asks for more.
+// Sets the limiter's allowances, reports the use of loans and requests more.
 void tick_loans(rates_context& context);
 
 } // namespace cyclamenhold
--- a/src/core/rates/rate_limiter.hpp
+++ b/src/core/rates/rate_limiter.hpp
@@ -1,6 +1,6 @@
-// The request path's side of workspace rates: one token bucket a workspace,
-// and the requests that wait for tokens. Thread-safe. The control thread sets
-// what the buckets may hand out (src/core/rates/rates.hpp).
+// The rate limiter of the request path: a token bucket for each workspace, and
+// the requests that wait for tokens. Thread-safe. The control thread sets the
+// allowances and adds loans (src/core/rates/rates.hpp).
 #pragma once
 
 #include "core/base/ids.hpp"
@@ -20,18 +20,18 @@
 namespace cyclamenhold
 {
 
-// Names a request that waits for a token; chosen by the request path.
+// Id of a request that waits for a token; assigned by the request path.
 using token_waiter = std::uint64_t;
 
 enum class token_verdict : std::uint8_t
 {
     admitted,
-    // The waiter will be in a later result of settle_waiters.
+    // A later result of settle_waiters contains the waiter.
     waiting,
     refused
 };
 
-// A bucket as it is logged.
+// State of a bucket's own allowance, for logs.
 struct bucket_level
 {
     double tokens = 0.0;
@@ -42,22 +42,22 @@
 struct token_answer
 {
     token_verdict verdict = token_verdict::refused;
-    // For a refusal: when a token is expected.
+    // For a refusal: time until a token is expected.
     duration retry_after{};
-    // For a refusal: the bucket that decided.
+    // For a refusal: the bucket that refused.
     bucket_level level{};
 };
 
-// Tokens lent to this node by a steward. Unused ones end with the loan.
+// Tokens lent to this node by a steward. Unused tokens expire with the loan.
 struct token_loan
 {
     std::uint64_t loan_id = 0;
     host_id lender = host_id::none;
     double tokens = 0.0;
     double used = 0.0;
-    // Counted from when this node asked.
+    // Counted from this node's request.
     time_point expires_at{};
-    // What the lender was last told.
+    // The part of `used` already reported to the lender.
     double reported_used = 0.0;
     bool closed = false;
 };
@@ -70,9 +70,9 @@
 
 struct token_bucket
 {
-    // The node's own weight: tokens, tokens a second and most tokens. Usable
-    // until `valid_until`, which is checked at each use, so that a node that
-    // was paused cannot use a weight it has lost meanwhile.
+    // The allowance of the node's own weight: tokens, tokens a second, and
+    // capacity in tokens. `valid_until` is checked at each use, so that a node
+    // whose process was paused cannot use a weight that has expired meanwhile.
     double tokens = 0.0;
     double rate = 0.0;
     double capacity = 0.0;
@@ -80,47 +80,51 @@
     time_point valid_until = time_point::min();
     std::vector<token_loan> token_loans;
     std::deque<waiting_request> waiters;
-    // Requests that asked for a token since the control thread last looked.
+    // Requests for a token since the last sample_demand.
     double arrivals = 0.0;
     double admitted = 0.0;
 };
 
-// The longest that a request waits for a token, so that time is left to run.
+// Default limit of the wait for a token; it leaves a request time to run.
 constexpr duration max_token_wait = 500ms;
 
 struct rate_limiter
 {
     std::mutex mutex;
-    // Requests wait no longer than this.
+    // Limit of the wait for a token.
     duration longest_wait = max_token_wait;
-    // Tokens may come from other hosts; otherwise the rate tells when the next
-    // one is there, and who would wait in vain is refused at once.
+    // Tokens may be borrowed from other hosts. Without loans the time of the
+    // next token follows from the rate, and a request that would time out while
+    // waiting is refused at once.
     bool has_loans = true;
     std::unordered_map<workspace_id, token_bucket> buckets;
-    // Waiters of workspaces that have been deleted.
+    // Waiters of deleted workspaces; expired by the next settle_waiters.
     std::vector<token_waiter> orphaned_waiters;
-    // Called without the mutex when a request began to wait; the adapter
-    // lets the control thread tick soon. Set before the first request.
+    // Called without the mutex held when a request starts to wait, so that the
+    // adapter can request a tick of the control thread. Must be set before the
+    // first request.
     std::function<void()> on_waiting;
 };
 
+// Waiting requests of one workspace.
 constexpr std::size_t max_waiters = 512;
 
-// Takes one token of the workspace, or waits for one until `wait_until` and
-// at most for max_token_wait.
+// Takes one token of the workspace, or waits for one until `wait_until` but no
+// longer than the limiter's `longest_wait`.
 [[nodiscard]] token_answer take_token(
     rate_limiter& limiter, workspace_id workspace, token_waiter waiter,
     time_point wait_until, time_point now);
 
-// The workspace's bucket, and when it has a token next.
+// A refusal with the state of the workspace's bucket and the time until its
+// next token. Takes no token.
 [[nodiscard]] token_answer
 bucket_refusal(rate_limiter& limiter, workspace_id workspace);
 
-// A request that took a token has not run.
+// Returns the token of a request that has not run.
 void return_token(
     rate_limiter& limiter, workspace_id workspace, time_point now);
 
-// A waiting request has gone.
+// Removes a waiting request, for example after a disconnect of its caller.
 void cancel_wait(
     rate_limiter& limiter, workspace_id workspace, token_waiter waiter);
 
@@ -130,22 +134,24 @@
     std::vector<token_waiter> expired;
 };
 
-// The waiting requests whose fate is decided by now. Called by the control
-// thread after it added tokens and at each tick.
+// Admits waiting requests in order while there are tokens, and expires those
+// whose wait has ended. The control thread calls it after adding tokens and at
+// each tick.
 [[nodiscard]] token_results
 settle_waiters(rate_limiter& limiter, time_point now);
 
-// The functions below are the control thread's.
+// The functions below are called by the control thread only.
 
-// Keeps a bucket for each of these workspaces and drops all others.
+// Creates missing buckets of these workspaces and drops the buckets of all
+// others.
 void limit_workspaces(
     rate_limiter& limiter, const std::vector<workspace_id>& workspaces,
     time_point now);
 
-// What the node's own weight is worth from now on. A weight given away is a
-// rate and capacity of zero.
+// The allowance of the node's own weight; zero for a weight that is leased out.
 struct own_allowance
 {
+    // Tokens a second.
     double rate = 0.0;
     double capacity = 0.0;
     time_point valid_until = time_point::min();
@@ -158,19 +164,21 @@
 void add_token_loan(
     rate_limiter& limiter, workspace_id workspace, token_loan loan);
 
-// What the control thread needs to know to ask ahead.
+// Input for requesting loans ahead of demand.
 struct token_demand
 {
+    // Waiting requests.
     double waiting = 0.0;
+    // Tokens of the own allowance and of open loans.
     double available = 0.0;
-    // Since the last call.
+    // Requests for a token since the last sample.
     double arrivals = 0.0;
 };
 
 [[nodiscard]] token_demand
 sample_demand(rate_limiter& limiter, workspace_id workspace, time_point now);
 
-// A lot whose lender has something new to learn.
+// Use of a loan, for a settlement to its lender.
 struct token_loan_report
 {
     std::uint64_t loan_id = 0;
@@ -179,14 +187,14 @@
     bool closed = false;
 };
 
-// Closes token_loans that are used up or that end before `close_before`, drops
-// those that have ended, and returns all token_loans whose state the lender was
-// not told and all closed ones.
+// Closes loans that are used up or that end before `close_before`, drops those
+// that have ended, and returns the loans with unreported use and all closed
+// loans.
 [[nodiscard]] std::vector<token_loan_report> report_token_loans(
     rate_limiter& limiter, workspace_id workspace, time_point close_before,
     time_point now);
 
-// The lender has taken in a report of a closed lot.
+// Drops a closed loan after its lender has acknowledged the report.
 void drop_token_loan(
     rate_limiter& limiter, workspace_id workspace, std::uint64_t loan_id);
 
--- a/src/core/rates/rates.hpp
+++ b/src/core/rates/rates.hpp
@@ -1,6 +1,7 @@
-// What this node may admit of each workspace's rate: roster, weight_leases,
-// stewards and loans. Runs on the control thread only; hands tokens to the
-// request path through a rate_limiter.
+// Computes how much of each workspace's rate this node may admit, either by
+// weight leases and loans or by shares of demand (rate_sharing). Runs on the
+// control thread only; passes tokens to the request path through a
+// rate_limiter.
 #pragma once
 
 #include "core/base/random.hpp"
@@ -20,13 +21,14 @@
 namespace cyclamenhold
 {
 
-// How the hosts divide a rate.
+// How the hosts of a fleet divide a rate.
 enum class rate_sharing : std::uint8_t
 {
-    // Exactly in every fault: each weight is used in one place. Takes terms to
-    // start and a roster in the platform.
+    // By weight leases: each weight is used in one place, so that no fault lets
+    // the hosts exceed a rate. A start takes lease terms, and the platform must
+    // store a roster.
     by_pledge,
-    // By what callers ask of each host; a rate may be exceeded for moments.
+    // By the callers' demand at each host; a rate may be exceeded briefly.
     by_demand
 };
 
@@ -42,27 +44,28 @@
 struct rates_settings
 {
     rate_sharing sharing = rate_sharing::by_pledge;
-    // With sharing by demand: a workspace may have rate x window + burst in
-    // each span of this length, so that the burst is granted anew in each.
-    // Zero where the burst only comes back from what is left of the rate.
+    // With sharing by demand: a workspace may admit rate x window + burst in
+    // each span of this length, so that each span has a full burst. Zero when
+    // the burst refills only from the unused rate.
     duration window{};
-    // With sharing by demand: what hosts that divide a rate may admit beyond it
-    // in a window, as a part of rate and burst and as a number of requests.
+    // With sharing by demand: what the hosts together may admit beyond that in
+    // a window, as a fraction of rate x window + burst (`overage`) and as a
+    // number of requests (`slack`).
     double overage = 0.0;
     double slack = 0.0;
     host_id self = host_id::none;
     data_centre_id data_centre = data_centre_id::none;
-    // How long a pledge lasts.
+    // Term of a weight lease.
     duration term = 5s;
-    // How long a loan to a host lasts, and one to another data centre.
+    // Terms of a loan to a host and of a loan to another data centre.
     duration loan_term = 1s;
     duration data_centre_loan_term = 2s;
-    // A host silent for so long may be removed from the roster; one without
-    // contact for half of it stops using its weight.
+    // A host without contact for this time may be removed from the roster; it
+    // stops using its own weight after half of this time.
     duration removal_time = 60s;
 };
 
-// What the other subsystems know; read at each call.
+// State of other subsystems, read at each call.
 struct rates_inputs
 {
     const configuration& current;
@@ -77,15 +80,17 @@
     weight_lease_state weight_leases;
     loan_state loans;
     demand_share_state demand;
-    // The revision whose workspaces the limiter and the shares are set to.
+    // The configuration revision that is applied to the limiter and to `share`.
     std::uint64_t revision = 0;
+    // This data centre's part of all rates and bursts.
     double share = 0.0;
     time_point last_tick_at{};
     bool leaving = false;
-    // The own weight has shrunk; the limiter must know before the event ends.
+    // This host's own weight has changed; its allowances must be set before the
+    // event ends.
     bool weights_changed = false;
     std::map<workspace_id, workspace> workspaces;
-    // Encoded messages to this host itself, handled before a call returns.
+    // Encoded messages from this host to itself, handled before a call returns.
     std::deque<std::vector<std::uint8_t>> local_messages;
 };
 
@@ -103,17 +108,17 @@
     rates_state& state, const rates_inputs& inputs, const platform_reply& reply,
     time_point now, random_source& random, control_actions& actions);
 
-// When rates_tick is due next. After the limiter's `on_waiting` it is due at
-// once.
+// When rates_tick is due next. It is due at once after the limiter calls
+// `on_waiting`.
 [[nodiscard]] time_point rates_due(const rates_state& state);
 
-// Hands back loans and stewardship before a planned stop.
+// Returns loans and releases weight leases before a planned stop.
 void rates_leave(
     rates_state& state, const rates_inputs& inputs, time_point now,
     random_source& random, control_actions& actions);
 
-// For claims: the office of a shard, with epoch 0 unless this host holds the
-// weight_leases of more than half of the roster at this moment.
+// The steward lease of a shard, for claims; epoch 0 unless this host now holds
+// the weight leases of more than half of the roster.
 [[nodiscard]] steward_lease rates_steward_lease(
     const rates_state& state, std::uint32_t shard, time_point now);
 
--- a/src/core/rates/rates_context.hpp
+++ b/src/core/rates/rates_context.hpp
@@ -1,4 +1,5 @@
-// What the parts of the rates subsystem are handed while one event is handled.
+// State, inputs, time and actions of one event, for the parts of the rates
+// subsystem.
 #pragma once
 
 #include "core/rates/rates.hpp"
@@ -16,7 +17,8 @@
     control_actions& actions;
 };
 
-// Sends a message; one to this host itself is handled before the event ends.
+// Sends a message over a stream. A message to this host itself is queued and
+// handled before the event ends.
 void send_rates(
     rates_context& context, host_id to, wire::rates::bodyUnion body);
 
@@ -39,19 +41,20 @@
         std::chrono::duration_cast<std::chrono::microseconds>(value).count());
 }
 
-// Longer terms are cut: a message cannot make anything last for ever.
+// Clamps to one hour, so that a message cannot set an unbounded term.
 [[nodiscard]] inline duration from_microseconds(std::uint64_t value)
 {
     constexpr std::uint64_t longest = 3'600'000'000;
     return std::chrono::microseconds(std::min(value, longest));
 }
 
-// Takes in epochs that a message tells of.
+// Records the epochs that a message reports, where they are newer than those on
+// record. `from_steward`: the sender holds these steward leases itself.
 void record_epochs(
     rates_context& context, host_id from,
     const std::vector<wire::rates::shard_epoch>& epochs, bool from_steward);
 
-// Handlers of the messages, by the part that owns them.
+// Message handlers, each defined in the file of its part.
 void on_roster_query(
     rates_context& context, host_id from,
     const wire::rates::roster_query_data& in);
--- a/src/core/rates/remote_loans.hpp
+++ b/src/core/rates/remote_loans.hpp
@@ -1,4 +1,4 @@
-// Loans between data centres, and what they share with loans to hosts.
+// Loans between data centres, and helpers shared with loans to hosts.
 #pragma once
 
 #include "core/rates/loans.hpp"
@@ -21,11 +21,11 @@
     }
 };
 
-// At most one request a lender and tick.
+// At most one request to each lender in a tick.
 using loan_requests =
     std::map<loan_request_key, wire::rates::loan_request_data>;
 
-// The request to a lender, begun when there is none yet.
+// The request to a lender; created when there is none yet.
 [[nodiscard]] wire::rates::loan_request_data& request_to(
     rates_context& context, loan_requests& requests, host_id to,
     bool between_data_centres);
@@ -36,7 +36,8 @@
     wire::rates::loan_request_data& request, workspace_id workspace,
     std::uint64_t loan_id, double used, bool closed);
 
-// Adds a steward's requests to stewards of other data centres.
+// Adds this steward's requests and settlements for the stewards of other data
+// centres.
 void tick_remote_loans(rates_context& context, loan_requests& requests);
 
 void on_remote_loan_reply(
--- a/src/core/rates/roster_removal.hpp
+++ b/src/core/rates/roster_removal.hpp
@@ -1,6 +1,6 @@
-// Removing hosts that have gone for good: only when more than half of the
-// roster confirm that they have not heard from it for the removal time, and
-// refuse it from then on.
+// Removal of failed hosts from the roster. A host is removed only when more
+// than half of the roster confirm that they had no contact with it for the
+// removal time; they refuse its queries from then on.
 #pragma once
 
 namespace cyclamenhold
@@ -8,7 +8,8 @@
 
 struct rates_context;
 
-// Proposes to remove a member that has long been silent, at one host.
+// Proposes the removal of a member without contact for the removal time. Only
+// the steward of shard 0 proposes.
 void tick_removals(rates_context& context);
 
 } // namespace cyclamenhold
--- a/src/core/rates/shards.hpp
+++ b/src/core/rates/shards.hpp
@@ -1,5 +1,5 @@
-// Shards of workspaces and of idempotency keys, and the host that each shard
-// should be kept by.
+// Shards of workspaces and of idempotency keys, and the assignment of shards to
+// hosts by rendezvous hashing.
 #pragma once
 
 #include "core/base/ids.hpp"
@@ -13,6 +13,7 @@
 {
 
 constexpr std::uint32_t shard_count = 16;
+// One bit a shard.
 constexpr std::uint32_t all_shards = (1U << shard_count) - 1;
 
 [[nodiscard]] std::uint32_t shard_of(workspace_id workspace);
@@ -22,8 +23,8 @@
 [[nodiscard]] host_id
 rendezvous_winner(std::uint64_t subject, std::span<const host_id> hosts);
 
-// The part of all rates and bursts that a data centre may admit by itself;
-// zero for one that the configuration does not name.
+// The part of all rates and bursts that a data centre may admit without loans;
+// zero for one that is not in the configuration.
 [[nodiscard]] double
 share_of(const configuration& current, data_centre_id data_centre);
 
--- a/src/core/rates/weight_lease_grants.cpp
+++ b/src/core/rates/weight_lease_grants.cpp
@@ -11,7 +11,9 @@
 
 namespace wire_rates = wire::rates;
 
-// Gives the weight of the shards to `to` where it is free or already there.
+// Leases this host's weight in the requested shards to `holder` where the
+// weight is free or the same incarnation of `holder` already holds it. Returns
+// a bit for each shard granted.
 std::uint32_t grant_weight_leases(
     rates_context& context, host_id holder,
     const wire_rates::pledge_request_data& in)
--- a/src/core/rates/weight_leases.hpp
+++ b/src/core/rates/weight_leases.hpp
@@ -1,5 +1,6 @@
-// Pledges: each member lends its weight in a shard to one steward for one
-// short term at a time.
+// Weight leases: each roster member leases its weight in a shard to one
+// steward, for one term at a time. A steward that holds the leases of more
+// than half of the roster also holds the steward lease of the shard.
 #pragma once
 
 #include "core/base/ids.hpp"
@@ -18,44 +19,50 @@
 struct rates_context;
 struct rates_state;
 
-// A member's side of one shard.
+// The lease of this host's own weight in one shard, as its grantor.
 struct granted_weight_lease
 {
     host_id holder = host_id::none;
-    // The life of the receiver; a later one has to wait for the end.
+    // A later incarnation of the holder gets no lease before this one ends.
     incarnation holder_incarnation = 0;
     std::uint64_t round = 0;
-    // Counted by the giver, from its answer.
+    // By the grantor's clock, counted from its reply.
     time_point ends_at = time_point::min();
+    // The roster index under which the lease was granted.
     std::uint64_t index = 0;
-    // An earlier pledge under an older roster may be in force until then.
+    // An earlier lease, granted under an older roster, may be in force until
+    // `older_ends_at`.
     std::uint64_t older_index = 0;
     time_point older_ends_at = time_point::min();
 };
 
-// A steward's side: one member's weight.
+// The lease of one member's weight, as its holder.
 struct held_weight_lease
 {
+    // The weight is one part in this many of the data centre's share.
     std::uint32_t parts = 0;
     std::uint64_t index = 0;
-    // Counted by the receiver, from its asking.
+    // By the holder's clock, counted from its request.
     time_point valid_until{};
 };
 
-// An lease's generation lasts so long.
+// Length of one generation of a steward lease.
 constexpr duration claim_generation_time = 600s;
 
-// The right to claim: held while more than half of the roster pledge.
+// The right to grant claims in a shard. Valid while this host holds the weight
+// leases of more than half of the roster.
 struct steward_lease
 {
     // 0 while not held.
     std::uint64_t epoch = 0;
-    // Grows while the epoch lasts; tickets of the last two are known.
+    // Increases by one every claim_generation_time within an epoch. Tickets of
+    // the current and the previous generation are valid.
     std::uint64_t generation = 0;
     time_point since{};
     time_point generation_since{};
 };
 
+// What this host holds as the steward of one shard.
 struct stewardship
 {
     std::map<host_id, held_weight_lease> weight_leases;
@@ -63,76 +70,89 @@
     steward_lease lease;
 };
 
+// One round of weight lease requests.
 struct weight_lease_round
 {
     std::uint64_t round = 0;
     time_point requested_at{};
 };
 
-// What a member last told a steward, for computing the floor.
+// A member's last report to a steward; input to the roster's floor.
 struct member_report
 {
+    // The lowest roster index under which the member's weight is in use.
     std::uint64_t confirmed = 0;
     time_point requested_at = time_point::min();
 };
 
-// The newest epoch observed of in a shard, and from whom.
+// The newest epoch seen in a shard and its steward.
 struct observed_epoch
 {
     std::uint64_t epoch = 0;
     std::uint64_t generation = 0;
+    // `none` when the epoch was reported by a host other than the steward.
     host_id steward = host_id::none;
 };
 
 struct weight_lease_state
 {
+    // Each array has one entry a shard.
     std::array<granted_weight_lease, shard_count> granted;
     std::array<stewardship, shard_count> held;
     std::array<observed_epoch, shard_count> observed;
-    // The rendezvous winners of this host's view.
+    // Rendezvous winner of each shard among the candidates that this host sees.
     std::array<host_id, shard_count> winners{};
+    // Versions of the members and the roster that `winners` was computed from.
     std::uint64_t winners_version = 0;
     std::uint64_t winners_index = 0;
     std::deque<weight_lease_round> rounds;
+    // Rounds of this incarnation; the first number is random.
     std::uint64_t first_round = 0;
     std::uint64_t last_round = 0;
     time_point next_round_at{};
     std::map<host_id, member_report> reports;
 };
 
-// Elects winners, asks for weight_leases and keeps offices.
+// Updates the winners, expires and requests weight leases, and updates the
+// steward leases.
 void tick_weight_leases(rates_context& context);
 
 // The lowest roster index under which this host's weight is in use.
 [[nodiscard]] std::uint64_t confirmed_index(const rates_context& context);
 
-// This host has its own weight of the shard to itself.
+// True when this host is active and its weight in the shard is not leased out.
 [[nodiscard]] bool
 has_unleased_weight(const rates_context& context, std::uint32_t shard);
 
-// The part of the data centre's share pledged to this host until `until`.
+// The part of the data centre's share whose leases this host holds beyond
+// `until`; in [0, 1].
 [[nodiscard]] double held_weight(const stewardship& held, time_point until);
 
+// True when this host holds any weight lease of the shard.
 [[nodiscard]] bool is_lender(const stewardship& held, time_point now);
 
-// Fills all buckets of a shard by the weights held so far.
+// Refills all buckets of a shard at the rate of the leases held until now.
+// Call before a lease is added or dropped.
 void refill_shard(rates_context& context, std::uint32_t shard);
 
-// The limits of a workspace's bucket at this steward.
+// The limits of a workspace's bucket at this steward; all zero for a workspace
+// that is not in the configuration.
 [[nodiscard]] lending_limits limits_of(
     const rates_context& context, std::uint32_t shard, workspace_id workspace);
 
-// More than half of the roster pledge the shard to this host now.
+// True when this host holds the leases of more than half of the roster.
 [[nodiscard]] bool
 has_majority(const rates_state& state, std::uint32_t shard, time_point now);
 
-// The lease of a shard, with epoch 0 unless it is held at this moment.
+// The steward lease of a shard; epoch 0 when this host does not hold it now.
 [[nodiscard]] steward_lease current_steward_lease(
     const rates_state& state, std::uint32_t shard, time_point now);
 
-// Elects the steward of each shard in this host's view, when that changed.
+// Recomputes the rendezvous winner of each shard when the members or the roster
+// have changed.
 void update_winners(rates_context& context);
 
+// Releases the weight leases of all shards in which no loan is outstanding.
 void release_weight_leases(rates_context& context);
 
 } // namespace cyclamenhold
