--- a/src/core/rates/demand_shares.cpp
+++ b/src/core/rates/demand_shares.cpp
@@ -12,19 +12,20 @@
 
 namespace wire_rates = wire::rates;
 
-// How fast the measured demand follows the arrivals: fast where there are many,
-// and over more time where chance decides how many come in a second.
+// Bounds of the time that a demand sample is averaged over. It is short for
+// many arrivals, and long for few, whose number in a second varies at random.
 constexpr duration min_averaging_time = 1s;
 constexpr duration max_averaging_time = 4s;
-// So many arrivals are remembered, which bounds the error by chance to about a
-// quarter.
+// Arrivals in one averaging time; the relative error of 16 random arrivals is
+// about a quarter.
 constexpr double averaged_arrivals = 16.0;
 constexpr duration sample_interval = 100ms;
-// Demand that every host is taken to have, so that one without callers lately
-// can serve the next at once: a part of the rate divided by the hosts.
+// Demand assumed at every host, as a fraction of the rate divided by the number
+// of hosts, so that a host without recent callers can serve the next one at
+// once.
 constexpr double assumed_demand = 0.15;
 
-// Seconds.
+// Seconds, for a demand in requests a second.
 double averaging_time(double demand)
 {
     return std::clamp(
@@ -54,8 +55,7 @@
         });
 }
 
-// Hosts that may be serving callers, reporting_hosts from or not; without this
-// one.
+// Other hosts that may be serving callers, with or without a recent report.
 std::size_t count_other_hosts(const rates_context& context)
 {
     return static_cast<std::size_t>(std::ranges::count_if(
@@ -97,7 +97,7 @@
     demand.reported.clear();
     for (const auto& [id, per_second] : demand.own)
     {
-        // Small demands are covered by the assumed one.
+        // Requests a second. The assumed demand covers smaller ones.
         constexpr double min_reported_demand = 0.05;
         if (per_second >= min_reported_demand)
         {
@@ -163,7 +163,7 @@
             workspace.rate, workspace.burst,
             {context.state.settings.window, context.state.settings.overage,
              context.state.settings.slack});
-        // A bucket below one token would never fill.
+        // A bucket with a capacity below one token would never admit a request.
         set_own_allowance(
             context.inputs.limiter, id,
             {share * per_second, std::max(1.0, share * capacity),
@@ -191,10 +191,11 @@
     {
         return {rate, burst};
     }
-    // Both parts together are the burst of one window.
+    // The part of the burst that goes into the refill rate over the window; the
+    // rest goes into the capacity.
     constexpr double steady_part = 0.75;
-    // The rest of the tolerance is for demand that moves between hosts before
-    // all of them know.
+    // The parts of the tolerance that go into the capacity. The rest is left
+    // for demand that moves between hosts before their reports arrive.
     constexpr double overage_part = 0.6;
     constexpr double slack_part = 0.9;
     const double seconds = to_seconds(tolerance.window);
--- a/src/core/rates/lending.cpp
+++ b/src/core/rates/lending.cpp
@@ -10,19 +10,21 @@
 namespace
 {
 
+// Rounding error of token counts.
 constexpr double token_epsilon = 1e-9;
 constexpr double min_loan_tokens = 0.01;
-// A borrowed lot that ends sooner is not lent on.
+// An inbound loan that ends sooner than this is not lent to hosts.
 constexpr duration min_lendable_term = 100ms;
-// A lender keeps what its own data centre used in this time.
+// A loan to another data centre leaves in the bucket what this data centre uses
+// in this time.
 constexpr duration reserve_time = 100ms;
 constexpr duration rate_window = 200ms;
 constexpr duration unmet_demand_lifetime = 200ms;
 
 double own_lendable(const lender_bucket& bucket, const lending_limits& limits)
 {
-    const double room = limits.capacity_at_end - bucket.lent;
-    return std::max(0.0, std::min(bucket.tokens, room));
+    const double capacity_left = limits.capacity_at_end - bucket.lent;
+    return std::max(0.0, std::min(bucket.tokens, capacity_left));
 }
 
 bool is_usable(const inbound_loan& loan, time_point now)
@@ -51,16 +53,16 @@
     return found == bucket.inbound_loans.end() ? nullptr : &*found;
 }
 
-// Moves `resolved` of a loan's tokens out of "lent": borrowed parts first.
-// Used tokens are gone; the others go back to where they came from.
+// Settles `settled` of a loan's outstanding tokens, borrowed parts first.
+// Unused tokens return to the inbound loan or the bucket that they came from.
 void settle_tokens(
-    lender_bucket& bucket, loan_record& record, double resolved, bool is_used)
+    lender_bucket& bucket, loan_record& record, double settled, bool is_used)
 {
     for (auto& [loan_id, amount] : record.borrowed)
     {
-        const double part = std::min(amount, resolved);
+        const double part = std::min(amount, settled);
         amount -= part;
-        resolved -= part;
+        settled -= part;
         inbound_loan* const loan = find_inbound_loan(bucket, loan_id);
         if (loan == nullptr)
         {
@@ -69,7 +71,7 @@
         loan->lent_on = std::max(0.0, loan->lent_on - part);
         (is_used ? loan->used : loan->tokens) += part;
     }
-    const double part = std::min(record.own, resolved);
+    const double part = std::min(record.own, settled);
     record.own -= part;
     bucket.lent = std::max(0.0, bucket.lent - part);
     if (!is_used)
@@ -126,21 +128,21 @@
     loan_record record{borrower, amount, 0.0,
                        {},       0.0,    now + grantor_term(term)};
     duration offered = term;
-    double left = amount;
+    double remaining = amount;
     for (auto& loan : bucket.inbound_loans)
     {
-        if (left <= 0.0 || !is_usable(loan, now))
+        if (remaining <= 0.0 || !is_usable(loan, now))
         {
             continue;
         }
-        const double part = std::min(left, loan.tokens);
+        const double part = std::min(remaining, loan.tokens);
         loan.tokens -= part;
         loan.lent_on += part;
-        left -= part;
+        remaining -= part;
         record.borrowed.push_back({loan.loan_id, part});
         offered = std::min(offered, holder_term(loan.expires_at - now));
     }
-    record.own = std::max(0.0, left);
+    record.own = std::max(0.0, remaining);
     bucket.tokens = std::max(0.0, bucket.tokens - record.own);
     bucket.lent += record.own;
     bucket.lent_since += amount;
@@ -211,9 +213,9 @@
         });
     for (auto& loan : bucket.inbound_loans)
     {
-        const bool done =
+        const bool is_done =
             loan.tokens <= token_epsilon || loan.expires_at < close_before;
-        loan.closed = loan.closed || (done && loan.lent_on <= token_epsilon);
+        loan.closed = loan.closed || (is_done && loan.lent_on <= token_epsilon);
     }
 }
 
--- a/src/core/rates/loans.cpp
+++ b/src/core/rates/loans.cpp
@@ -14,7 +14,7 @@
 namespace wire_rates = wire::rates;
 
 constexpr duration demand_window = 100ms;
-// A host is_requesting for what it will need in this time.
+// A host requests loans for its expected arrivals in this time.
 constexpr duration demand_horizon = 100ms;
 constexpr duration request_timeout = 150ms;
 constexpr duration report_interval = 20ms;
@@ -69,8 +69,9 @@
     return !is_pending && now >= demand.next_request_at;
 }
 
-// Adds what this host has to say about one workspace to the requests.
-void add_workspace(
+// Samples the demand of one workspace and adds its settlements, and a request
+// for a loan when tokens are short, to `requests`.
+void add_workspace_requests(
     rates_context& context, loan_requests& requests, workspace_id id)
 {
     rates_state& state = context.state;
@@ -79,8 +80,10 @@
     const auto sample = sample_demand(context.inputs.limiter, id, context.now);
     sample_rate(demand, sample.arrivals, context.now);
     state.loans.busy = state.loans.busy || sample.waiting > 0.0;
-    const double ahead = std::floor(demand.rate * to_seconds(demand_horizon));
-    const double wanted = std::ceil(sample.waiting + ahead - sample.available);
+    const double expected =
+        std::floor(demand.rate * to_seconds(demand_horizon));
+    const double wanted =
+        std::ceil(sample.waiting + expected - sample.available);
     const host_id steward = steward_for(context, shard);
     const bool is_requesting = wanted >= 1.0 && steward != host_id::none &&
                                !state.leaving &&
@@ -201,7 +204,7 @@
     loan_requests requests;
     for (const auto& [id, settings] : state.workspaces)
     {
-        add_workspace(context, requests, id);
+        add_workspace_requests(context, requests, id);
     }
     tick_remote_loans(context, requests);
     send_requests(context, requests);
--- a/src/core/rates/rate_limiter.cpp
+++ b/src/core/rates/rate_limiter.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Rounding may leave a whole token this much short.
+// Rounding error of token counts: this much less than one token counts as one.
 constexpr double token_epsilon = 1e-9;
 
 void refill(token_bucket& bucket, time_point now)
@@ -53,7 +53,8 @@
     return true;
 }
 
-// Until there is a token for the next request to come.
+// Time until a new request gets a token, after those that already wait; 1 s for
+// a bucket without a rate.
 duration expected_wait(const token_bucket& bucket)
 {
     if (bucket.rate <= 0.0)
@@ -66,11 +67,12 @@
         from_seconds(missing / bucket.rate), duration(10ms), duration(10s));
 }
 
-// A bucket that others may lend to can get tokens sooner than its rate tells.
+// Loans can bring tokens sooner than the bucket's own rate, so the wait is
+// estimated only for a limiter without loans.
 bool is_wait_too_long(
-    const rate_limiter& limiter, const token_bucket& bucket, duration patience)
+    const rate_limiter& limiter, const token_bucket& bucket, duration max_wait)
 {
-    return !limiter.has_loans && expected_wait(bucket) > patience;
+    return !limiter.has_loans && expected_wait(bucket) > max_wait;
 }
 
 token_answer refusal_of(const token_bucket& bucket)
@@ -160,23 +162,23 @@
     results.expired.swap(limiter.orphaned_waiters);
     for (auto& [workspace, bucket] : limiter.buckets)
     {
-        std::deque<waiting_request> kept;
+        std::deque<waiting_request> remaining;
         for (const auto& request : bucket.waiters)
         {
             if (request.wait_until <= now)
             {
                 results.expired.push_back(request.waiter);
             }
-            else if (kept.empty() && take_one(bucket, now))
+            else if (remaining.empty() && take_one(bucket, now))
             {
                 results.admitted.push_back(request.waiter);
             }
             else
             {
-                kept.push_back(request);
+                remaining.push_back(request);
             }
         }
-        bucket.waiters.swap(kept);
+        bucket.waiters.swap(remaining);
     }
     return results;
 }
--- a/src/core/rates/rates.cpp
+++ b/src/core/rates/rates.cpp
@@ -12,6 +12,7 @@
 
 namespace wire_rates = wire::rates;
 
+// Tick intervals while tokens are needed and otherwise.
 constexpr duration busy_interval = 5ms;
 constexpr duration idle_interval = 50ms;
 
@@ -69,8 +70,8 @@
     }
 }
 
-// Ends an event: what the limiter may hand out never outlasts a pledge given
-// or a roster adopted in the same event.
+// Ends an event. When the event granted a weight lease or adopted a roster, the
+// limiter's allowances are reduced before it returns.
 void finish_event(rates_context& context)
 {
     deliver_local_messages(context);
@@ -81,7 +82,8 @@
     }
 }
 
-// Follows the configuration: which workspaces there are and the share.
+// Applies a new configuration revision: the workspaces and this data centre's
+// share.
 void apply_configuration(rates_context& context)
 {
     rates_state& state = context.state;
@@ -141,7 +143,8 @@
     state.hosts.started_at = now;
     state.hosts.next_call_at =
         now + std::chrono::milliseconds(random_below(random, 200));
-    // Ids of an earlier life at this address must not be met again.
+    // Random first ids, so that ids of an earlier incarnation at this address
+    // are not used again.
     state.loans.last_loan = random() >> 1;
     state.loans.last_request = random() >> 1;
     state.weight_leases.last_round = random() >> 1;
--- a/src/core/rates/remote_loans.cpp
+++ b/src/core/rates/remote_loans.cpp
@@ -12,6 +12,7 @@
 
 namespace wire_rates = wire::rates;
 
+// Tokens.
 constexpr double min_requested_tokens = 0.01;
 constexpr duration remote_timeout = 300ms;
 constexpr duration request_interval = 10ms;
@@ -19,7 +20,7 @@
 constexpr duration first_back_off = 20ms;
 constexpr duration max_back_off = 1s;
 
-// The data centres of the configuration besides this one.
+// The other data centres in the configuration.
 std::vector<data_centre_id> other_data_centres(const rates_context& context)
 {
     std::vector<data_centre_id> others;
@@ -34,7 +35,8 @@
     return others;
 }
 
-// The host that should be steward of a shard in another data centre.
+// The rendezvous winner of a shard among the alive hosts of another data
+// centre.
 host_id remote_steward(
     const rates_context& context, data_centre_id data_centre,
     std::uint32_t shard)
@@ -68,7 +70,7 @@
     return lender.request == 0 && now >= lender.next_request_at;
 }
 
-// Tells lenders what became of the tokens they lent.
+// Adds settlements of inbound loans for their lenders.
 void report_inbound_loans(
     rates_context& context, loan_requests& requests, workspace_id id,
     lender_bucket& bucket)
--- a/src/core/rates/roster_exchange.cpp
+++ b/src/core/rates/roster_exchange.cpp
@@ -12,7 +12,7 @@
 
 namespace wire_rates = wire::rates;
 
-wire_rates::roster_image_data image_of(const roster& hosts)
+wire_rates::roster_image_data encode_roster(const roster& hosts)
 {
     wire_rates::roster_image_data image;
     image.index = hosts.index;
@@ -29,7 +29,7 @@
     return image;
 }
 
-roster roster_of(const wire_rates::roster_image_data& image)
+roster decode_roster(const wire_rates::roster_image_data& image)
 {
     roster hosts;
     hosts.index = image.index;
@@ -61,7 +61,7 @@
     if (in.index < hosts.known.index)
     {
         answer.roster = std::make_unique<wire_rates::roster_image_data>(
-            image_of(hosts.known));
+            encode_roster(hosts.known));
     }
     send_rates_message(context, from, std::move(answer));
 }
@@ -73,7 +73,7 @@
     roster_state& hosts = context.state.hosts;
     if (in.roster)
     {
-        adopt_roster(context, roster_of(*in.roster));
+        adopt_roster(context, decode_roster(*in.roster));
     }
     hosts.floor = std::max(hosts.floor, in.floor);
     if (in.active && in.query == hosts.query)
--- a/src/core/rates/roster_maintenance.cpp
+++ b/src/core/rates/roster_maintenance.cpp
@@ -17,7 +17,8 @@
 constexpr duration call_timeout = 3s;
 constexpr duration first_back_off = 250ms;
 constexpr duration max_back_off = 10s;
-// Hosts that start together join by one write.
+// Longest random delay before a host writes the roster. Hosts that start at the
+// same time are then added by one write.
 constexpr std::uint64_t join_spread_ms = 300;
 
 bool is_on_roster(const rates_context& context)
@@ -25,7 +26,7 @@
     return contains(context.state.hosts.known, context.state.settings.self);
 }
 
-// This host and all hosts of its data centre that the roster lacks.
+// This host and all alive hosts of its data centre that are not on the roster.
 std::vector<roster_member> missing_members(const rates_context& context)
 {
     const rates_state& state = context.state;
@@ -59,7 +60,8 @@
     context.actions.platform_calls.push_back(std::move(call));
 }
 
-// True when the weight would lapse before the next round of queries.
+// True when less than a quarter of the removal time is left before this host
+// has to stop using its weight.
 bool is_contact_expiring(const rates_context& context)
 {
     return contact_time_left(context) < context.state.settings.removal_time / 4;
@@ -100,8 +102,8 @@
             context, with_members(hosts.known, missing_members(context)));
         return;
     }
-    // A host that majorities refuse, though the platform still lists it,
-    // writes the roster anew, which ends the refusals.
+    // When a majority of members refuses a host that is still on the platform's
+    // roster, the host rewrites the roster. The new index clears the refusals.
     const bool is_refused = is_on_roster(context) && hosts.is_roster_current &&
                             hosts.platform_read_at > hosts.rewritten_at &&
                             context.now - hosts.rewritten_at >
@@ -167,8 +169,8 @@
     }
 }
 
-// A restarted host has learned the newest roster once enough members have
-// answered queries that were sent after its wait.
+// A restarted host's roster is current once the platform or enough members have
+// answered requests that were sent after its restart wait.
 void check_roster_current(rates_context& context)
 {
     roster_state& hosts = context.state.hosts;
--- a/src/core/rates/roster_removal.cpp
+++ b/src/core/rates/roster_removal.cpp
@@ -11,7 +11,7 @@
 
 namespace wire_rates = wire::rates;
 
-// A proposal that has found no majority by then is given up.
+// A proposal without a majority after this time is dropped.
 constexpr duration proposal_timeout = 1s;
 
 bool is_alive(const rates_context& context, host_id host)
@@ -21,7 +21,8 @@
     return found != members.end() && found->second.state == member_state::alive;
 }
 
-// This host has had no sign of `host` for the removal time.
+// True when `host` is a roster member that is not alive and has answered no
+// query of this host for the removal time.
 bool is_long_silent(const rates_context& context, host_id host)
 {
     const rates_state& state = context.state;
--- a/src/core/rates/weight_leases.cpp
+++ b/src/core/rates/weight_leases.cpp
@@ -15,10 +15,10 @@
 
 constexpr duration quick_round_interval = 250ms;
 constexpr std::size_t max_rounds = 16;
-// The low bits of an epoch are random, the others come from the wall clock.
+// Low bits of an epoch that are random; the others are wall clock milliseconds.
 constexpr unsigned epoch_random_bits = 20;
 
-std::vector<host_id> candidates(const rates_context& context)
+std::vector<host_id> steward_candidates(const rates_context& context)
 {
     const rates_state& state = context.state;
     const auto& members = context.inputs.members.members;
@@ -51,8 +51,8 @@
     return shards;
 }
 
-// Reports older than this say nothing about a member that was restarted
-// since: it stays inactive for a whole term.
+// Age limit of member reports. A member that has restarted stays inactive for a
+// whole term, so a report younger than this is still valid.
 duration report_lifetime(const rates_context& context)
 {
     return context.state.settings.term * 3 / 5;
@@ -84,7 +84,7 @@
     }
 }
 
-// All that are alive have pledged, and under the newest roster.
+// All alive members lease these shards to this host, under the newest roster.
 bool is_fully_leased(const rates_context& context, std::uint32_t shards)
 {
     const rates_state& state = context.state;
@@ -92,7 +92,7 @@
     {
         return false;
     }
-    const std::size_t alive = candidates(context).size();
+    const std::size_t alive = steward_candidates(context).size();
     for (std::uint32_t shard = 0; shard < shard_count; ++shard)
     {
         if ((shards >> shard & 1U) != 0 &&
@@ -135,13 +135,13 @@
             request.epochs.emplace_back(shard, lease.epoch, lease.generation);
         }
     }
-    for (const host_id host : candidates(context))
+    for (const host_id host : steward_candidates(context))
     {
         send_rates_message(context, host, request);
     }
 }
 
-// Ends an lease whose majority has lapsed, begins one that has a majority.
+// Ends a steward lease without a majority; starts or continues one with it.
 void update_steward_lease(rates_context& context, std::uint32_t shard)
 {
     rates_state& state = context.state;
@@ -166,10 +166,10 @@
                          static_cast<std::uint64_t>(to_milliseconds(
                              context.now - state.hosts.started_at));
     observed_epoch& observed = state.weight_leases.observed[shard];
-    const std::uint64_t timed =
+    const std::uint64_t time_based =
         (wall_ms << epoch_random_bits) |
         random_below(context.random, 1ULL << epoch_random_bits);
-    lease.epoch = std::max(observed.epoch + 1, timed);
+    lease.epoch = std::max(observed.epoch + 1, time_based);
     lease.generation = 1;
     lease.since = context.now;
     lease.generation_since = context.now;
@@ -216,7 +216,7 @@
     }
     leases.winners_version = version + 1;
     leases.winners_index = context.state.hosts.known.index;
-    const auto hosts = candidates(context);
+    const auto hosts = steward_candidates(context);
     for (std::uint32_t shard = 0; shard < shard_count; ++shard)
     {
         leases.winners[shard] = rendezvous_winner(shard, hosts);
@@ -388,7 +388,7 @@
         }
         held = {};
     }
-    // Replies that are still on their way are met by no round.
+    // Replies that arrive later match no round and are ignored.
     leases.rounds.clear();
     for (const host_id host : grantors)
     {
