--- a/src/core/rates/roster_contact.cpp
+++ b/src/core/rates/roster_contact.cpp
@@ -50,20 +50,20 @@
     {
         return time_point::max();
     }
-    std::vector<time_point> asked;
+    std::vector<time_point> query_times;
     for (const auto& [host, at] : hosts.contacts)
     {
         if (contains(hosts.known, host))
         {
-            asked.push_back(at);
+            query_times.push_back(at);
         }
     }
-    if (asked.size() < needed)
+    if (query_times.size() < needed)
     {
         return time_point::min();
     }
-    std::ranges::sort(asked, std::greater<>());
-    return asked[needed - 1] +
+    std::ranges::sort(query_times, std::greater<>());
+    return query_times[needed - 1] +
            holder_term(context.state.settings.removal_time / 2);
 }
 
--- a/tests/core/rates_test.cpp
+++ b/tests/core/rates_test.cpp
@@ -14,7 +14,8 @@
 
 const workspace_id school = workspace_id_of("school");
 
-// A fleet of the given options with one workspace, its oracle set.
+// A fleet with one workspace, whose admissions an oracle checks against `rate`
+// (requests a second) and `burst`.
 std::unique_ptr<virtual_fleet>
 make_fleet(const fleet_options& options, double rate, double burst)
 {
@@ -26,16 +27,17 @@
     return fleet;
 }
 
-// Requests arrive evenly for `time` at the nodes that `chosen` picks in turn.
-template <class Chooser>
+// Offers `rate` requests a second at even intervals for `time`. Request n goes
+// to the node `select_node(n)`. Runs one more second for the last ones.
+template <class NodeSelector>
 void offer_load(
-    virtual_fleet& fleet, double rate, duration time, Chooser chosen)
+    virtual_fleet& fleet, double rate, duration time, NodeSelector select_node)
 {
     const time_point end = fleet.now() + time;
     std::uint64_t number = 0;
     while (fleet.now() < end)
     {
-        fleet.offer(chosen(number++), school, 2s);
+        fleet.offer(select_node(number++), school, 2s);
         fleet.run_for(from_seconds(1.0 / rate));
     }
     fleet.run_for(1s);
@@ -54,6 +56,9 @@
            static_cast<double>(oracle.offered);
 }
 
+// Guards against refusals of demand within the rate when it comes in at few of
+// the nodes, whose own weight covers only a part of it and who need loans for
+// the rest, and against admissions beyond the rate under overload.
 TEST(rates, even_and_skewed_demand_inside_the_rate)
 {
     fleet_options options;
@@ -61,7 +66,8 @@
     rate_oracle& oracle = fleet->oracles[school];
     fleet->start_all();
     {
-        SCOPED_TRACE("a fresh fleet admits within two seconds of its start");
+        SCOPED_TRACE(
+            "a new fleet admits requests within two seconds of its start");
         offer_load(
             *fleet, 50.0, 2s,
             [&fleet](std::uint64_t number) -> virtual_node&
@@ -110,7 +116,7 @@
         EXPECT_GT(served_part(oracle), 0.99);
     }
     {
-        SCOPED_TRACE("ten times the rate gets the rate and no more");
+        SCOPED_TRACE("at ten times the rate, the rate is admitted and no more");
         oracle.offered = oracle.admitted = oracle.refused = 0;
         offer_load(
             *fleet, 1200.0, 10s,
@@ -126,7 +132,10 @@
     EXPECT_LE(oracle.highest_excess, 1e-6);
 }
 
-TEST(rates, rolling_restart_while_the_platform_is_away)
+// Guards against a fleet that admits less than its rate after a rolling restart
+// without the platform. Each restarted node has lost the roster and can read it
+// only from its peers.
+TEST(rates, rolling_restart_while_the_platform_is_unreachable)
 {
     fleet_options options;
     const auto fleet = make_fleet(options, 120.0, 24.0);
@@ -139,7 +148,7 @@
         fleet->start(*node);
         fleet->run_for(12s);
     }
-    SCOPED_TRACE("the roster was learned from peers, the rate is whole");
+    SCOPED_TRACE("the roster comes from peers and the whole rate is admitted");
     rate_oracle& oracle = fleet->oracles[school];
     offer_load(
         *fleet, 110.0, 10s,
@@ -151,7 +160,9 @@
     EXPECT_LE(oracle.highest_excess, 1e-6);
 }
 
-TEST(rates, host_gone_for_good)
+// Guards against the loss of a failed host's weight: without a removal from the
+// roster, the other hosts of its data centre never use that part of the rate.
+TEST(rates, failed_host_is_removed_from_the_roster)
 {
     fleet_options options;
     options.rates.removal_time = 20s;
@@ -160,7 +171,7 @@
     fleet->run_for(30s);
     fleet->crash(node_at(*fleet, 1));
     fleet->run_for(60s);
-    SCOPED_TRACE("the others removed it and took up its weight");
+    SCOPED_TRACE("the other hosts have removed it and use its weight");
     const auto& hosts = node_at(*fleet, 0).control->rates.hosts;
     EXPECT_EQ(hosts.known.members.size(), 3U);
     EXPECT_EQ(weight_parts(hosts, fleet->local_now(node_at(*fleet, 0))), 3U);
--- a/tests/support/sharing_fleet.hpp
+++ b/tests/support/sharing_fleet.hpp
@@ -14,22 +14,24 @@
 namespace cyclamenhold
 {
 
+// Requests a second, and requests.
 constexpr double rate = 100.0;
 constexpr double burst = 100.0;
 inline const workspace_id school = workspace_id_of("school");
 
-// What callers who come at random got.
+// Results of callers who arrive at random.
 struct caller_counts
 {
     int offered = 0;
     int admitted = 0;
-    // The most that was admitted in any span of `rate_window`.
-    int most_in_window = 0;
+    // Most admissions in any span of `rate_window`.
+    int max_in_window = 0;
 };
 
 constexpr duration rate_window = 5s;
 
-// One host with its limiter; members and messages are moved by the test.
+// One host with its limiter. The fleet sets its members and delivers its
+// messages.
 struct sharing_host
 {
     host_id id = host_id::none;
@@ -43,7 +45,7 @@
     explicit sharing_fleet(
         std::size_t count, double school_rate = rate,
         double school_burst = burst)
-        : hosts(count), is_cut(count, false)
+        : hosts(count), is_partitioned(count, false)
     {
         current.revision = 1;
         current.workspaces.push_back({"school", school_rate, school_burst});
@@ -59,27 +61,27 @@
                 if (other != i)
                 {
                     const auto peer = static_cast<host_id>(other + 1);
-                    member& known = hosts[i]->members.members[peer];
-                    known.host = peer;
-                    known.state = member_state::alive;
+                    member& entry = hosts[i]->members.members[peer];
+                    entry.host = peer;
+                    entry.state = member_state::alive;
                 }
             }
         }
     }
 
-    // Lets time pass, offering `demand[i]` requests a second at host i; returns
-    // what each admitted.
+    // Runs for `time` and offers `demand[i]` requests a second at host i.
+    // Returns the number of requests that each host admitted.
     std::vector<int> run(const std::vector<double>& demand, duration time)
     {
         std::vector<int> admitted(hosts.size(), 0);
-        std::vector<double> owed(hosts.size(), 0.0);
+        std::vector<double> pending(hosts.size(), 0.0);
         for (const time_point end = now + time; now < end; now += 10ms)
         {
             for (std::size_t i = 0; i < hosts.size(); ++i)
             {
                 tick(*hosts[i], i);
-                for (owed[i] += demand[i] / 100.0; owed[i] >= 1.0;
-                     owed[i] -= 1.0)
+                for (pending[i] += demand[i] / 100.0; pending[i] >= 1.0;
+                     pending[i] -= 1.0)
                 {
                     const auto answer =
                         take_token(hosts[i]->limiter, school, 1, now, now);
@@ -91,8 +93,8 @@
         return admitted;
     }
 
-    // Callers who come independently of each other, `demand[i]` a second at
-    // host i on average, and wait for a token as long as the limiter lets them.
+    // Runs for `time` with independent callers, `demand[i]` a second at host i
+    // on average. They wait for a token up to the limiter's `longest_wait`.
     caller_counts run_random(const std::vector<double>& demand, duration time)
     {
         caller_counts counts;
@@ -105,8 +107,8 @@
             {
                 recent.pop_front();
             }
-            counts.most_in_window = std::max(
-                counts.most_in_window, static_cast<int>(recent.size()));
+            counts.max_in_window =
+                std::max(counts.max_in_window, static_cast<int>(recent.size()));
         };
         token_waiter next_waiter = 1;
         for (const time_point end = now + time; now < end; now += 10ms)
@@ -144,23 +146,23 @@
         for (const auto& message : actions.messages)
         {
             const auto to = static_cast<std::size_t>(message.to) - 1;
-            if (is_cut[index] != is_cut[to])
+            if (is_partitioned[index] != is_partitioned[to])
             {
                 continue;
             }
             control_actions ignored;
-            const rates_inputs theirs{
+            const rates_inputs peer_inputs{
                 current, hosts[to]->members, hosts[to]->limiter};
             rates_on_message(
-                hosts[to]->rates, theirs,
+                hosts[to]->rates, peer_inputs,
                 {host.id, message.kind, message.payload}, now, random, ignored);
         }
     }
 
     configuration current;
     std::vector<std::unique_ptr<sharing_host>> hosts;
-    // Hosts on the other side of a cut.
-    std::vector<bool> is_cut;
+    // Hosts on the other side of a network partition.
+    std::vector<bool> is_partitioned;
     time_point now{100s};
     random_source random{5};
 };
@@ -175,8 +177,8 @@
     return sum;
 }
 
-// What the stated bound allows in a window: a tenth more than rate and burst,
-// and twenty requests.
+// Most admissions in a window by the documented bound: a tenth more than rate x
+// window + burst, and twenty requests.
 inline double allowed_in(double seconds)
 {
     return (rate * seconds + burst) * 1.1 + 20.0;
