--- a/src/core/rates/rate_limiter.hpp
+++ b/src/core/rates/rate_limiter.hpp
@@ -106,7 +106,7 @@
     std::function<void()> on_waiting;
 };
 
-// Waiting requests of one workspace.
+// Limit of the waiting requests of one workspace.
 constexpr std::size_t max_waiters = 512;
 
 // Takes one token of the workspace, or waits for one until `wait_until` but no
--- a/src/core/rates/rates.hpp
+++ b/src/core/rates/rates.hpp
@@ -25,8 +25,8 @@
 enum class rate_sharing : std::uint8_t
 {
     // By weight leases: each weight is used in one place, so that no fault lets
-    // the hosts exceed a rate. A start takes lease terms, and the platform must
-    // store a roster.
+    // the hosts exceed a rate. Starting takes one or more lease terms and needs
+    // a roster in the platform.
     by_pledge,
     // By the callers' demand at each host; a rate may be exceeded briefly.
     by_demand
--- a/src/core/rates/weight_leases.hpp
+++ b/src/core/rates/weight_leases.hpp
@@ -100,7 +100,8 @@
     std::array<granted_weight_lease, shard_count> granted;
     std::array<stewardship, shard_count> held;
     std::array<observed_epoch, shard_count> observed;
-    // Rendezvous winner of each shard among the candidates that this host sees.
+    // Rendezvous winner of each shard among the alive members in this host's
+    // view.
     std::array<host_id, shard_count> winners{};
     // Versions of the members and the roster that `winners` was computed from.
     std::uint64_t winners_version = 0;
