--- a/src/core/rates/lending.cpp
+++ b/src/core/rates/lending.cpp
@@ -1,6 +1,6 @@
 #include "core/rates/lending.hpp"
 
-#include "core/rates/terms.hpp"
+#include "core/rates/lease_terms.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -10,25 +10,27 @@
 namespace
 {
 
+// Rounding error of token counts.
 constexpr double token_epsilon = 1e-9;
-constexpr double smallest_loan = 0.01;
-// A borrowed lot that ends sooner is not lent on.
-constexpr duration least_useful_term = 100ms;
-// A lender keeps what its own data centre used in this time.
+constexpr double min_loan_tokens = 0.01;
+// An inbound loan that ends sooner than this is not lent to hosts.
+constexpr duration min_lendable_term = 100ms;
+// A loan to another data centre leaves in the bucket what this data centre uses
+// in this time.
 constexpr duration reserve_time = 100ms;
 constexpr duration rate_window = 200ms;
-constexpr duration unmet_time = 200ms;
+constexpr duration unmet_demand_lifetime = 200ms;
 
 double own_lendable(const lender_bucket& bucket, const lending_limits& limits)
 {
-    const double room = limits.capacity_at_end - bucket.lent;
-    return std::max(0.0, std::min(bucket.tokens, room));
+    const double capacity_left = limits.capacity_at_end - bucket.lent;
+    return std::max(0.0, std::min(bucket.tokens, capacity_left));
 }
 
-bool usable(const borrowed_lot& lot, time_point now)
+bool is_usable(const inbound_loan& loan, time_point now)
 {
-    return !lot.closed && lot.tokens > 0.0 &&
-           lot.expires_at - now >= least_useful_term;
+    return !loan.closed && loan.tokens > 0.0 &&
+           loan.expires_at - now >= min_lendable_term;
 }
 
 void sample_local_rate(lender_bucket& bucket, time_point now)
@@ -44,41 +46,41 @@
     bucket.rate_sampled_at = now;
 }
 
-borrowed_lot* find_lot(lender_bucket& bucket, std::uint64_t loan)
+inbound_loan* find_inbound_loan(lender_bucket& bucket, std::uint64_t loan_id)
 {
-    const auto found =
-        std::ranges::find(bucket.lots, loan, &borrowed_lot::loan);
-    return found == bucket.lots.end() ? nullptr : &*found;
+    const auto found = std::ranges::find(
+        bucket.inbound_loans, loan_id, &inbound_loan::loan_id);
+    return found == bucket.inbound_loans.end() ? nullptr : &*found;
 }
 
-// Moves `resolved` of a loan's tokens out of "lent": borrowed parts first.
-// Used tokens are gone; the others go back to where they came from.
-void resolve(
-    lender_bucket& bucket, loan_record& record, double resolved, bool were_used)
+// Settles `settled` of a loan's outstanding tokens, borrowed parts first.
+// Unused tokens return to the inbound loan or the bucket that they came from.
+void settle_tokens(
+    lender_bucket& bucket, loan_record& record, double settled, bool is_used)
 {
-    for (auto& [loan, amount] : record.borrowed)
+    for (auto& [loan_id, amount] : record.borrowed)
     {
-        const double part = std::min(amount, resolved);
+        const double part = std::min(amount, settled);
         amount -= part;
-        resolved -= part;
-        borrowed_lot* const lot = find_lot(bucket, loan);
-        if (lot == nullptr)
+        settled -= part;
+        inbound_loan* const loan = find_inbound_loan(bucket, loan_id);
+        if (loan == nullptr)
         {
             continue;
         }
-        lot->lent_on = std::max(0.0, lot->lent_on - part);
-        (were_used ? lot->used : lot->tokens) += part;
+        loan->lent_on = std::max(0.0, loan->lent_on - part);
+        (is_used ? loan->used : loan->tokens) += part;
     }
-    const double part = std::min(record.own, resolved);
+    const double part = std::min(record.own, settled);
     record.own -= part;
     bucket.lent = std::max(0.0, bucket.lent - part);
-    if (!were_used)
+    if (!is_used)
     {
         bucket.tokens += part;
     }
 }
 
-double unresolved(const loan_record& record)
+double unsettled_tokens(const loan_record& record)
 {
     double amount = record.own;
     for (const auto& part : record.borrowed)
@@ -104,8 +106,8 @@
 }
 
 loan_offer lend_to_host(
-    lender_bucket& bucket, const lending_limits& limits, host_id to,
-    std::uint64_t loan, double wanted, duration term, time_point now)
+    lender_bucket& bucket, const lending_limits& limits, host_id borrower,
+    std::uint64_t loan_id, double wanted, duration term, time_point now)
 {
     refill_lender(bucket, limits, now);
     const double amount = std::floor(
@@ -113,75 +115,78 @@
         token_epsilon);
     if (amount < wanted)
     {
-        bucket.unmet[to] = {wanted - amount, now};
+        bucket.unmet[borrower] = {wanted - amount, now};
     }
     else
     {
-        bucket.unmet.erase(to);
+        bucket.unmet.erase(borrower);
     }
     if (amount < 1.0)
     {
         return {};
     }
-    loan_record record{to, amount, 0.0, {}, 0.0, now + giver_term(term)};
+    loan_record record{borrower, amount, 0.0,
+                       {},       0.0,    now + grantor_term(term)};
     duration offered = term;
-    double left = amount;
-    for (auto& lot : bucket.lots)
+    double remaining = amount;
+    for (auto& loan : bucket.inbound_loans)
     {
-        if (left <= 0.0 || !usable(lot, now))
+        if (remaining <= 0.0 || !is_usable(loan, now))
         {
             continue;
         }
-        const double part = std::min(left, lot.tokens);
-        lot.tokens -= part;
-        lot.lent_on += part;
-        left -= part;
-        record.borrowed.push_back({lot.loan, part});
-        offered = std::min(offered, receiver_term(lot.expires_at - now));
-    }
-    record.own = std::max(0.0, left);
+        const double part = std::min(remaining, loan.tokens);
+        loan.tokens -= part;
+        loan.lent_on += part;
+        remaining -= part;
+        record.borrowed.push_back({loan.loan_id, part});
+        offered = std::min(offered, holder_term(loan.expires_at - now));
+    }
+    record.own = std::max(0.0, remaining);
     bucket.tokens = std::max(0.0, bucket.tokens - record.own);
     bucket.lent += record.own;
     bucket.lent_since += amount;
-    bucket.loans.emplace(loan, std::move(record));
+    bucket.loans.emplace(loan_id, std::move(record));
     return {amount, offered};
 }
 
 loan_offer lend_to_data_centre(
-    lender_bucket& bucket, const lending_limits& limits, host_id to,
-    std::uint64_t loan, double wanted, duration term, time_point now)
+    lender_bucket& bucket, const lending_limits& limits, host_id borrower,
+    std::uint64_t loan_id, double wanted, duration term, time_point now)
 {
     refill_lender(bucket, limits, now);
     const double reserve = bucket.local_rate * to_seconds(reserve_time);
     const double amount =
         std::min(wanted, own_lendable(bucket, limits) - reserve);
-    if (amount < smallest_loan || unmet_wants(bucket, now) > 0.0)
+    if (amount < min_loan_tokens || sum_unmet_demand(bucket, now) > 0.0)
     {
         return {};
     }
     bucket.tokens -= amount;
     bucket.lent += amount;
     bucket.loans.emplace(
-        loan, loan_record{to, amount, amount, {}, 0.0, now + giver_term(term)});
+        loan_id,
+        loan_record{
+            borrower, amount, amount, {}, 0.0, now + grantor_term(term)});
     return {amount, term};
 }
 
 void settle_loan(
-    lender_bucket& bucket, host_id from, std::uint64_t loan, double used,
+    lender_bucket& bucket, host_id from, std::uint64_t loan_id, double used,
     bool closed)
 {
-    const auto found = bucket.loans.find(loan);
-    if (found == bucket.loans.end() || found->second.to != from)
+    const auto found = bucket.loans.find(loan_id);
+    if (found == bucket.loans.end() || found->second.borrower != from)
     {
         return;
     }
     loan_record& record = found->second;
     used = std::clamp(used, record.used, record.amount);
-    resolve(bucket, record, used - record.used, true);
+    settle_tokens(bucket, record, used - record.used, true);
     record.used = used;
     if (closed)
     {
-        resolve(bucket, record, unresolved(record), false);
+        settle_tokens(bucket, record, unsettled_tokens(record), false);
         bucket.loans.erase(found);
     }
 }
@@ -196,20 +201,21 @@
             ++entry;
             continue;
         }
-        resolve(bucket, entry->second, unresolved(entry->second), true);
+        settle_tokens(
+            bucket, entry->second, unsettled_tokens(entry->second), true);
         entry = bucket.loans.erase(entry);
     }
     std::erase_if(
-        bucket.lots,
-        [now](const borrowed_lot& lot)
+        bucket.inbound_loans,
+        [now](const inbound_loan& loan)
         {
-            return lot.expires_at <= now;
+            return loan.expires_at <= now;
         });
-    for (auto& lot : bucket.lots)
+    for (auto& loan : bucket.inbound_loans)
     {
-        const bool done =
-            lot.tokens <= token_epsilon || lot.expires_at < close_before;
-        lot.closed = lot.closed || (done && lot.lent_on <= token_epsilon);
+        const bool is_done =
+            loan.tokens <= token_epsilon || loan.expires_at < close_before;
+        loan.closed = loan.closed || (is_done && loan.lent_on <= token_epsilon);
     }
 }
 
@@ -217,19 +223,19 @@
     const lender_bucket& bucket, const lending_limits& limits, time_point now)
 {
     double amount = own_lendable(bucket, limits);
-    for (const auto& lot : bucket.lots)
+    for (const auto& loan : bucket.inbound_loans)
     {
-        amount += usable(lot, now) ? lot.tokens : 0.0;
+        amount += is_usable(loan, now) ? loan.tokens : 0.0;
     }
     return amount;
 }
 
-double unmet_wants(lender_bucket& bucket, time_point now)
+double sum_unmet_demand(lender_bucket& bucket, time_point now)
 {
     double amount = 0.0;
     for (auto entry = bucket.unmet.begin(); entry != bucket.unmet.end();)
     {
-        if (entry->second.at + unmet_time <= now)
+        if (entry->second.at + unmet_demand_lifetime <= now)
         {
             entry = bucket.unmet.erase(entry);
             continue;
--- a/src/core/rates/rate_limiter.cpp
+++ b/src/core/rates/rate_limiter.cpp
@@ -1,6 +1,6 @@
 #include "core/rates/rate_limiter.hpp"
 
-#include "core/rates/terms.hpp"
+#include "core/rates/lease_terms.hpp"
 
 #include <algorithm>
 
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Rounding may leave a whole token this much short.
+// Rounding error of token counts: this much less than one token counts as one.
 constexpr double token_epsilon = 1e-9;
 
 void refill(token_bucket& bucket, time_point now)
@@ -32,13 +32,13 @@
 
 bool take_one(token_bucket& bucket, time_point now)
 {
-    for (auto& lot : bucket.lots)
+    for (auto& loan : bucket.token_loans)
     {
-        if (!lot.closed && now < lot.expires_at &&
-            lot.tokens >= 1.0 - token_epsilon)
+        if (!loan.closed && now < loan.expires_at &&
+            loan.tokens >= 1.0 - token_epsilon)
         {
-            lot.tokens = std::max(0.0, lot.tokens - 1.0);
-            lot.used += 1.0;
+            loan.tokens = std::max(0.0, loan.tokens - 1.0);
+            loan.used += 1.0;
             bucket.admitted += 1.0;
             return true;
         }
@@ -53,7 +53,8 @@
     return true;
 }
 
-// Until there is a token for the next request to come.
+// Time until a new request gets a token, after those that already wait; 1 s for
+// a bucket without a rate.
 duration expected_wait(const token_bucket& bucket)
 {
     if (bucket.rate <= 0.0)
@@ -66,11 +67,12 @@
         from_seconds(missing / bucket.rate), duration(10ms), duration(10s));
 }
 
-// A bucket that others may lend to can get tokens sooner than its rate tells.
+// Loans can bring tokens sooner than the bucket's own rate, so the wait is
+// estimated only for a limiter without loans.
 bool is_wait_too_long(
-    const rate_limiter& limiter, const token_bucket& bucket, duration patience)
+    const rate_limiter& limiter, const token_bucket& bucket, duration max_wait)
 {
-    return !limiter.has_loans && expected_wait(bucket) > patience;
+    return !limiter.has_loans && expected_wait(bucket) > max_wait;
 }
 
 token_answer refusal_of(const token_bucket& bucket)
@@ -83,7 +85,7 @@
 
 } // namespace
 
-token_answer refused_by_bucket(rate_limiter& limiter, workspace_id workspace)
+token_answer bucket_refusal(rate_limiter& limiter, workspace_id workspace)
 {
     const std::scoped_lock lock(limiter.mutex);
     const auto found = limiter.buckets.find(workspace);
@@ -124,8 +126,7 @@
     return {token_verdict::waiting};
 }
 
-void give_back_token(
-    rate_limiter& limiter, workspace_id workspace, time_point now)
+void return_token(rate_limiter& limiter, workspace_id workspace, time_point now)
 {
     const std::scoped_lock lock(limiter.mutex);
     const auto found = limiter.buckets.find(workspace);
@@ -158,26 +159,26 @@
 {
     const std::scoped_lock lock(limiter.mutex);
     token_results results;
-    results.expired.swap(limiter.orphans);
+    results.expired.swap(limiter.orphaned_waiters);
     for (auto& [workspace, bucket] : limiter.buckets)
     {
-        std::deque<waiting_request> kept;
+        std::deque<waiting_request> remaining;
         for (const auto& request : bucket.waiters)
         {
             if (request.wait_until <= now)
             {
                 results.expired.push_back(request.waiter);
             }
-            else if (kept.empty() && take_one(bucket, now))
+            else if (remaining.empty() && take_one(bucket, now))
             {
                 results.admitted.push_back(request.waiter);
             }
             else
             {
-                kept.push_back(request);
+                remaining.push_back(request);
             }
         }
-        bucket.waiters.swap(kept);
+        bucket.waiters.swap(remaining);
     }
     return results;
 }
@@ -204,7 +205,7 @@
         }
         for (const auto& request : entry->second.waiters)
         {
-            limiter.orphans.push_back(request.waiter);
+            limiter.orphaned_waiters.push_back(request.waiter);
         }
         entry = limiter.buckets.erase(entry);
     }
@@ -228,13 +229,14 @@
     bucket.tokens = std::min(bucket.tokens, bucket.capacity);
 }
 
-void add_lot(rate_limiter& limiter, workspace_id workspace, token_lot lot)
+void add_token_loan(
+    rate_limiter& limiter, workspace_id workspace, token_loan loan)
 {
     const std::scoped_lock lock(limiter.mutex);
     if (const auto found = limiter.buckets.find(workspace);
         found != limiter.buckets.end())
     {
-        found->second.lots.push_back(lot);
+        found->second.token_loans.push_back(loan);
     }
 }
 
@@ -252,11 +254,11 @@
     refill(bucket, now);
     demand.waiting = static_cast<double>(bucket.waiters.size());
     demand.available = bucket.tokens;
-    for (const auto& lot : bucket.lots)
+    for (const auto& loan : bucket.token_loans)
     {
-        if (!lot.closed && now < lot.expires_at)
+        if (!loan.closed && now < loan.expires_at)
         {
-            demand.available += lot.tokens;
+            demand.available += loan.tokens;
         }
     }
     demand.arrivals = bucket.arrivals;
@@ -264,51 +266,52 @@
     return demand;
 }
 
-std::vector<lot_report> report_lots(
+std::vector<token_loan_report> report_token_loans(
     rate_limiter& limiter, workspace_id workspace, time_point close_before,
     time_point now)
 {
     const std::scoped_lock lock(limiter.mutex);
-    std::vector<lot_report> reports;
+    std::vector<token_loan_report> reports;
     const auto found = limiter.buckets.find(workspace);
     if (found == limiter.buckets.end())
     {
         return reports;
     }
-    auto& lots = found->second.lots;
+    auto& token_loans = found->second.token_loans;
     std::erase_if(
-        lots,
-        [now](const token_lot& lot)
+        token_loans,
+        [now](const token_loan& loan)
         {
-            return lot.expires_at <= now;
+            return loan.expires_at <= now;
         });
-    for (auto& lot : lots)
+    for (auto& loan : token_loans)
     {
-        if (lot.tokens < 1.0 - token_epsilon || lot.expires_at < close_before)
+        if (loan.tokens < 1.0 - token_epsilon || loan.expires_at < close_before)
         {
-            lot.closed = true;
+            loan.closed = true;
         }
-        if (lot.closed || lot.used > lot.reported_used)
+        if (loan.closed || loan.used > loan.reported_used)
         {
-            reports.push_back({lot.loan, lot.lender, lot.used, lot.closed});
-            lot.reported_used = lot.used;
+            reports.push_back(
+                {loan.loan_id, loan.lender, loan.used, loan.closed});
+            loan.reported_used = loan.used;
         }
     }
     return reports;
 }
 
-void forget_lot(
-    rate_limiter& limiter, workspace_id workspace, std::uint64_t loan)
+void drop_token_loan(
+    rate_limiter& limiter, workspace_id workspace, std::uint64_t loan_id)
 {
     const std::scoped_lock lock(limiter.mutex);
     if (const auto found = limiter.buckets.find(workspace);
         found != limiter.buckets.end())
     {
         std::erase_if(
-            found->second.lots,
-            [loan](const token_lot& lot)
+            found->second.token_loans,
+            [loan_id](const token_loan& loan)
             {
-                return lot.loan == loan && lot.closed;
+                return loan.loan_id == loan_id && loan.closed;
             });
     }
 }
