--- a/src/adapters/call_driver.cpp
+++ b/src/adapters/call_driver.cpp
@@ -312,9 +312,9 @@
 }
 
 asio::awaitable<call_step>
-wait_for_claim(call_run& run, const claim_question& question)
+wait_for_claim(call_run& run, const claim_question& requested_claim)
 {
-    run.caller->thread.control.ask_claim(question);
+    run.caller->thread.control.request_claim(requested_claim);
     const auto wakeup = co_await wait_for_wakeup(run);
     claim_answer answer;
     answer.token = run.state.id;
@@ -400,7 +400,7 @@
     if (const auto resumed = noticed_resumption(thread.services.suspensions))
     {
         path.resumed_at = resumed->time_since_epoch().count();
-        path.keys_valid_until = 0;
+        path.keys_fresh_until = 0;
     }
     run.head.method = request.method;
     run.head.target = request.target;
@@ -421,9 +421,9 @@
         {
             step = co_await wait_for_token(run);
         }
-        else if (step.kind == call_step_kind::ask_claim)
+        else if (step.kind == call_step_kind::request_claim)
         {
-            step = co_await wait_for_claim(run, step.question);
+            step = co_await wait_for_claim(run, step.requested_claim);
         }
         else if (step.kind == call_step_kind::attempt)
         {
--- a/src/adapters/control_loop.cpp
+++ b/src/adapters/control_loop.cpp
@@ -40,7 +40,7 @@
         // Half, since the repeats of calls of repeated requests come on top.
         const double hosts =
             static_cast<double>(loop.state.membership.members.size()) + 1.0;
-        limit_service_retries(
+        set_max_service_tokens(
             loop.services.path.retries,
             std::max(1.0, loop.retry_slack / 2.0 / hosts));
     }
@@ -71,7 +71,7 @@
         loop.services.path.resumed_at.load(std::memory_order_relaxed);
     const time_point until =
         is_older_than_suspension ? time_point{} : confirmed + loop.key_trust;
-    loop.services.path.keys_valid_until.store(
+    loop.services.path.keys_fresh_until.store(
         until.time_since_epoch().count(), std::memory_order_relaxed);
     const bool trusted = now() < until;
     if (trusted != loop.are_keys_trusted)
@@ -468,12 +468,13 @@
         loop.io,
         [&loop, digests]
         {
-            const upstream_life life{loop.services.self, loop.upstream.life};
+            const upstream_incarnation life{
+                loop.services.self, loop.upstream.life};
             run_step(
                 loop,
                 [&](control_actions& actions)
                 {
-                    quarantine_on_death(
+                    quarantine_on_crash(
                         loop.state.quarantine, loop.state.membership, life,
                         digests, now(), loop.random, actions);
                 });
--- a/src/adapters/local_gate.cpp
+++ b/src/adapters/local_gate.cpp
@@ -24,7 +24,7 @@
     gate.services.record(seen);
 }
 
-void settle(local_gate& gate, const gate_verdicts& verdicts);
+void settle(local_gate& gate, const gate_decisions& decisions);
 
 bool is_suspect_here(local_gate& gate, std::uint64_t digest)
 {
@@ -54,7 +54,7 @@
 
 // Carries one started request to the upstream and settles it with the gate.
 asio::awaitable<void> run_started(
-    local_gate* gate, exchange_ptr work, gate_ticket ticket,
+    local_gate* gate, exchange_ptr work, gate_entry_id entry_id,
     upstream_connection_ptr connection)
 {
     const auto request = begin_running(gate->handles, work->context);
@@ -87,26 +87,26 @@
     {
         return_connection(gate->pool, connection);
     }
-    gate_verdicts verdicts;
+    gate_decisions decisions;
     {
         const std::scoped_lock lock(gate->mutex);
-        verdicts = gate_finish(
-            gate->gate, ticket, result, now(),
-            request->record->below.total(now()));
+        decisions = gate_finish(
+            gate->gate, entry_id, result, now(),
+            request->record->child_wait.total(now()));
     }
     --gate->running;
     note_end(*gate, *work, endpoint, connection, result, broke);
-    settle(*gate, verdicts);
+    settle(*gate, decisions);
 }
 
-void start(local_gate& gate, const exchange_ptr& work, gate_ticket ticket)
+void start(local_gate& gate, const exchange_ptr& work, gate_entry_id entry_id)
 {
     ++gate.running;
     record(gate, event_kind::gate_started, *work, {});
     auto connection = take_connection(gate.pool, work->body.get_executor());
     const auto executor = connection->stream.get_executor();
     asio::co_spawn(
-        executor, run_started(&gate, work, ticket, std::move(connection)),
+        executor, run_started(&gate, work, entry_id, std::move(connection)),
         asio::detached);
 }
 
@@ -122,14 +122,14 @@
     fail(*work, {reason, outcome::not_run}, load);
 }
 
-void settle(local_gate& gate, const gate_verdicts& verdicts)
+void settle(local_gate& gate, const gate_decisions& decisions)
 {
-    for (const auto& [ticket, reason] : verdicts)
+    for (const auto& [entry_id, reason] : decisions)
     {
         exchange_ptr work;
         {
             const std::scoped_lock lock(gate.mutex);
-            const auto found = gate.waiting.find(ticket);
+            const auto found = gate.waiting.find(entry_id);
             if (found == gate.waiting.end())
             {
                 continue;
@@ -139,45 +139,45 @@
         }
         if (reason == refusal::none)
         {
-            start(gate, work, ticket);
+            start(gate, work, entry_id);
             continue;
         }
         refuse(gate, work, reason);
     }
 }
 
-void cancel_waiting(local_gate& gate, gate_ticket ticket)
+void cancel_waiting(local_gate& gate, gate_entry_id entry_id)
 {
-    gate_verdicts verdicts;
+    gate_decisions decisions;
     {
         const std::scoped_lock lock(gate.mutex);
-        if (gate.waiting.erase(ticket) == 0)
+        if (gate.waiting.erase(entry_id) == 0)
         {
             return;
         }
-        verdicts = gate_cancel(gate.gate, ticket, now());
+        decisions = gate_cancel(gate.gate, entry_id, now());
     }
-    settle(gate, verdicts);
+    settle(gate, decisions);
 }
 
 void offer(local_gate& gate, const exchange_ptr& work)
 {
-    const gate_ticket ticket = gate.next_ticket++;
+    const gate_entry_id entry_id = gate.next_entry_id++;
     const bool suspect = is_suspect_here(gate, work->context.digest);
-    gate_verdicts verdicts;
+    gate_decisions decisions;
     {
         const std::scoped_lock lock(gate.mutex);
-        gate.waiting.emplace(ticket, work);
-        verdicts = gate_offer(
-            gate.gate, {ticket, work->context, now(), suspect}, now());
+        gate.waiting.emplace(entry_id, work);
+        decisions = gate_offer(
+            gate.gate, {entry_id, work->context, now(), suspect}, now());
     }
     set_abort(
         *work,
-        [&gate, ticket]
+        [&gate, entry_id]
         {
-            cancel_waiting(gate, ticket);
+            cancel_waiting(gate, entry_id);
         });
-    settle(gate, verdicts);
+    settle(gate, decisions);
 }
 
 } // namespace
@@ -216,22 +216,22 @@
     {
         set_address(gate.pool, address);
     }
-    gate_verdicts verdicts;
+    gate_decisions decisions;
     {
         const std::scoped_lock lock(gate.mutex);
-        verdicts = gate_set_upstream(gate.gate, record, now());
+        decisions = gate_set_upstream(gate.gate, record, now());
     }
-    settle(gate, verdicts);
+    settle(gate, decisions);
 }
 
 void tick_gate(local_gate& gate)
 {
-    gate_verdicts verdicts;
+    gate_decisions decisions;
     {
         const std::scoped_lock lock(gate.mutex);
-        verdicts = gate_tick(gate.gate, now());
+        decisions = gate_tick(gate.gate, now());
     }
-    settle(gate, verdicts);
+    settle(gate, decisions);
 }
 
 load_report report_of(local_gate& gate)
--- a/src/adapters/local_gate.hpp
+++ b/src/adapters/local_gate.hpp
@@ -29,8 +29,8 @@
     std::mutex mutex;
     // Guarded by mutex, as is `waiting`.
     gate_state gate;
-    std::unordered_map<gate_ticket, exchange_ptr> waiting;
-    std::atomic<gate_ticket> next_ticket{1};
+    std::unordered_map<gate_entry_id, exchange_ptr> waiting;
+    std::atomic<gate_entry_id> next_entry_id{1};
     // Requests that are running now.
     std::atomic<std::uint32_t> running{0};
     death_watch deaths;
--- a/src/adapters/node_runtime.cpp
+++ b/src/adapters/node_runtime.cpp
@@ -271,7 +271,7 @@
     node.services.on_peer_silent = [&node](host_id peer)
     {
         const auto view = node.services.path.routing.read();
-        if (!note_host_unreachable(*view, peer, now()))
+        if (!record_host_unreachable(*view, peer, now()))
         {
             return;
         }
@@ -283,7 +283,7 @@
             heartbeat_avoidance.count());
         node.services.record(seen);
     };
-    node.control_side.ask_claim = [&node](const claim_question& question)
+    node.control_side.request_claim = [&node](const claim_question& question)
     {
         post_claim_question(node.control, question);
     };
@@ -555,9 +555,10 @@
     node->services.limits = limits_of(settings.limits);
     node->services.dialect = dialect;
     node->services.local_service = settings.service;
-    node->services.path.keyless_are_calls = dialect.headers.call_handle.empty();
-    node->services.path.retries_turned_away =
-        node->services.path.keyless_are_calls;
+    node->services.path.treats_keyless_as_calls =
+        dialect.headers.call_handle.empty();
+    node->services.path.retries_node_refusals =
+        node->services.path.treats_keyless_as_calls;
     node->gate.gate.settings = {
         settings.upstream.trusts_slots != 0,
         settings.upstream.reserved_for_calls / 100.0,
--- a/src/core/gate/admission.cpp
+++ b/src/core/gate/admission.cpp
@@ -11,37 +11,38 @@
 
 constexpr duration window_length = 100ms;
 constexpr duration min_target_delay = 20ms;
-// A class suffers when its requests wait longer than this part of the mean
-// latency.
+// A class is_class_overloaded when its requests wait longer than this part of
+// the mean latency.
 constexpr int target_latency_divisor = 4;
 // The counts keep about so many requests in memory, within bounds.
-constexpr double remembered_requests = 100.0;
+constexpr double decay_requests = 100.0;
 constexpr double min_decay = 0.8;
 constexpr double max_decay = 0.97;
-// While a class suffers, this much more than was started is let through, so
-// that the queue does not run empty.
-constexpr double admitted_share = 1.05;
-// When the offers are no more than that and it still suffers, a small step.
-constexpr double small_step = 0.97;
+// While a class is_class_overloaded, this much more than was started is let
+// through, so that the queue does not run empty.
+constexpr double start_headroom = 1.05;
+// When the offers are no more than that and it still is_class_overloaded, a
+// small step.
+constexpr double fallback_close_factor = 0.97;
 // The first calm window opens this many positions, each later one twice as
 // many as the one before.
-constexpr std::uint32_t first_opening = 1;
+constexpr std::uint32_t initial_open_step = 1;
 constexpr std::uint32_t max_doublings = 6;
 // The level never closes below this, which keeps learning possible.
 constexpr std::uint32_t min_open_positions = 1;
 
-bool suffers(const class_window& window, duration target)
+bool is_class_overloaded(const class_window& window, duration target)
 {
     const std::uint32_t started = std::max<std::uint32_t>(window.started, 1);
     return window.refused > 0 || window.delay / started > target;
 }
 
 std::optional<std::size_t>
-first_suffering(const admission_control& control, duration target)
+first_overloaded_class(const admission_control& control, duration target)
 {
     for (std::size_t i = 0; i < priority_class_count; ++i)
     {
-        if (suffers(control.windows[i], target))
+        if (is_class_overloaded(control.windows[i], target))
         {
             return i;
         }
@@ -52,7 +53,7 @@
 // The number of slots whose offers add up to what may be let through.
 std::uint32_t slots_for(const class_demand& demand, std::uint32_t open_slots)
 {
-    const double wanted = demand.started * admitted_share;
+    const double wanted = demand.started * start_headroom;
     double sum = 0.0;
     for (std::uint32_t slot = 0; slot < open_slots; ++slot)
     {
@@ -62,15 +63,15 @@
             return slot;
         }
     }
-    return static_cast<std::uint32_t>(open_slots * small_step);
+    return static_cast<std::uint32_t>(open_slots * fallback_close_factor);
 }
 
-void close_level(admission_control& control, std::size_t suffering)
+void close_level(admission_control& control, std::size_t overloaded_class)
 {
     const auto first =
-        static_cast<std::uint32_t>(suffering * admission_slot_count);
-    // A class that is not let in suffers from what its callers have not heard
-    // yet; that moves nothing.
+        static_cast<std::uint32_t>(overloaded_class * admission_slot_count);
+    // A class that is not let in is_class_overloaded from what its callers have
+    // not heard yet; that moves nothing.
     if (control.open <= first)
     {
         return;
@@ -79,22 +80,24 @@
         std::min<std::uint32_t>(control.open - first, admission_slot_count);
     control.open = std::max(
         min_open_positions,
-        first + slots_for(control.demands[suffering], open_slots));
-    control.calm_windows = 0;
+        first + slots_for(control.demands[overloaded_class], open_slots));
+    control.windows_without_overload = 0;
 }
 
 void open_level(admission_control& control)
 {
-    const auto doublings = std::min(control.calm_windows, max_doublings);
-    ++control.calm_windows;
+    const auto doublings =
+        std::min(control.windows_without_overload, max_doublings);
+    ++control.windows_without_overload;
     control.open = std::min(
-        admission_position_count, control.open + (first_opening << doublings));
+        admission_position_count,
+        control.open + (initial_open_step << doublings));
 }
 
-void remember(admission_control& control)
+void decay_counts(admission_control& control)
 {
     const double decay = std::clamp(
-        std::exp(-control.window_offered / remembered_requests), min_decay,
+        std::exp(-control.window_offered / decay_requests), min_decay,
         max_decay);
     for (std::size_t i = 0; i < priority_class_count; ++i)
     {
@@ -117,7 +120,7 @@
 
 } // namespace
 
-void admission_note_offer(
+void admission_record_offer(
     admission_control& control, const request_context& context)
 {
     const std::size_t slot =
@@ -126,7 +129,7 @@
     ++control.window_offered;
 }
 
-void admission_note_start(
+void admission_record_start(
     admission_control& control, priority_class priority, duration delay)
 {
     class_window& window = control.windows[index_of(priority)];
@@ -134,7 +137,8 @@
     window.delay += delay;
 }
 
-void admission_note_refusal(admission_control& control, priority_class priority)
+void admission_record_refusal(
+    admission_control& control, priority_class priority)
 {
     ++control.windows[index_of(priority)].refused;
 }
@@ -149,17 +153,17 @@
     control.window_started = now;
     const duration target =
         std::max(min_target_delay, mean_latency / target_latency_divisor);
-    const auto suffering = first_suffering(control, target);
-    control.overloaded = suffering.has_value();
-    if (!suffering)
+    const auto overloaded_class = first_overloaded_class(control, target);
+    control.overloaded = overloaded_class.has_value();
+    if (!overloaded_class)
     {
         open_level(control);
     }
     else
     {
-        close_level(control, *suffering);
+        close_level(control, *overloaded_class);
     }
-    remember(control);
+    decay_counts(control);
 }
 
 admission_level level_of(const admission_control& control)
--- a/src/core/gate/admission.hpp
+++ b/src/core/gate/admission.hpp
@@ -39,18 +39,18 @@
     time_point window_started{};
     std::uint32_t window_offered = 0;
     // Windows in a row in which no class that is let in suffered.
-    std::uint32_t calm_windows = 0;
+    std::uint32_t windows_without_overload = 0;
     // Some class suffered in the last window.
     bool overloaded = false;
 };
 
-void admission_note_offer(
+void admission_record_offer(
     admission_control& control, const request_context& context);
-void admission_note_start(
+void admission_record_start(
     admission_control& control, priority_class priority, duration delay);
 
 // A request was refused or dropped for want of capacity.
-void admission_note_refusal(
+void admission_record_refusal(
     admission_control& control, priority_class priority);
 
 // Closes the window when it is over and moves the level. Requests may wait for
--- a/src/core/gate/concurrency_limit.cpp
+++ b/src/core/gate/concurrency_limit.cpp
@@ -24,10 +24,10 @@
 constexpr double latency_weight = 0.05;
 // Of the slots announced by an upstream that is trusted; the rest is for its
 // health check and for those who call it past this node.
-constexpr double trusted_share = 0.95;
+constexpr double exact_slots_share = 0.95;
 // How fast a trusted limit grows back after the upstream shed, as a part of
 // the slots a second.
-constexpr double trusted_regrowth = 0.2;
+constexpr double recovery_share_per_second = 0.2;
 constexpr duration warm_up_time = 10s;
 constexpr double warm_up_floor = 0.1;
 
@@ -40,7 +40,7 @@
 
 double warm_up_share(const concurrency_limit& limit, time_point now)
 {
-    if (!limit.warming || limit.trusts_announced)
+    if (!limit.warming || limit.is_announcement_exact)
     {
         return 1.0;
     }
@@ -131,7 +131,7 @@
     limit.steady_length = std::min(limit.steady_length * 2, max_steady_length);
 }
 
-void judge_probe(concurrency_limit& limit)
+void evaluate_probe(concurrency_limit& limit)
 {
     const double slope = slope_between(limit.steady, limit.probe);
     if (slope < 0.0)
@@ -156,18 +156,18 @@
     }
 }
 
-void grow_back(concurrency_limit& limit, time_point now)
+void recover_limit(concurrency_limit& limit, time_point now)
 {
     const double elapsed = to_seconds(now - limit.phase_started);
     limit.phase_started = now;
-    const double usable = limit.announced * trusted_share;
+    const double usable = limit.announced * exact_slots_share;
     if (limit.value > 0.0 && limit.value < usable)
     {
         limit.value = bounded(
-            limit,
-            std::min(
-                usable, limit.value + limit.announced * trusted_regrowth *
-                                          std::min(elapsed, 1.0)));
+            limit, std::min(
+                       usable, limit.value + limit.announced *
+                                                 recovery_share_per_second *
+                                                 std::min(elapsed, 1.0)));
     }
 }
 
@@ -189,7 +189,7 @@
     limit.announced = slots;
     limit.cap = connections;
     const double usable =
-        limit.trusts_announced ? slots * trusted_share : slots;
+        limit.is_announcement_exact ? slots * exact_slots_share : slots;
     limit.value = connections == 0 ? 0.0 : bounded(limit, usable);
     limit.raised_slope = slope_threshold;
     limit.lowered_slope = 0.0;
@@ -214,7 +214,7 @@
     return static_cast<std::uint32_t>(std::lround(bounded(limit, value)));
 }
 
-limit_sample_start limit_note_start(
+limit_sample_start limit_record_start(
     const concurrency_limit& limit, std::uint32_t running, time_point now)
 {
     constexpr double saturated_share = 0.95;
@@ -223,12 +223,12 @@
         running >= saturated_share * current_limit(limit, now)};
 }
 
-void limit_note_end(
-    concurrency_limit& limit, const limit_sample_start& start, duration below,
-    time_point now)
+void limit_record_end(
+    concurrency_limit& limit, const limit_sample_start& start,
+    duration child_wait, time_point now)
 {
     const duration latency = now - start.at;
-    const duration own = std::max(latency - below, duration(1us));
+    const duration own = std::max(latency - child_wait, duration(1us));
     if (limit.mean_latency == duration::zero())
     {
         limit.mean_latency = latency;
@@ -258,7 +258,7 @@
     }
 }
 
-void limit_note_shed(
+void limit_record_shed(
     concurrency_limit& limit, std::uint32_t running, time_point now)
 {
     if (now - limit.reduced_at < std::max(limit.mean_latency, duration(50ms)))
@@ -275,9 +275,9 @@
 
 void limit_tick(concurrency_limit& limit, time_point now)
 {
-    if (limit.trusts_announced)
+    if (limit.is_announcement_exact)
     {
-        grow_back(limit, now);
+        recover_limit(limit, now);
         return;
     }
     const duration length = probe_length(limit);
@@ -298,7 +298,7 @@
     // Twice the length, so that most of what started here has ended.
     if (elapsed >= 2 * length)
     {
-        judge_probe(limit);
+        evaluate_probe(limit);
         begin_phase(limit, limit_phase::steady, now);
     }
 }
--- a/src/core/gate/concurrency_limit.hpp
+++ b/src/core/gate/concurrency_limit.hpp
@@ -42,7 +42,7 @@
     // The announced slots are what the upstream really runs at once, so that
     // nothing is probed; the limit only falls when the upstream sheds, and
     // grows back.
-    bool trusts_announced = false;
+    bool is_announcement_exact = false;
     double value = 0.0;
     std::uint32_t announced = 0;
     // The connection cap; never exceeded.
@@ -59,7 +59,7 @@
     // Exponentially weighted mean of the upstream's latency.
     duration mean_latency{};
     // How much of a change of concurrency shows up as latency, as a smoothed
-    // logarithmic slope: 0 below the upstream's capacity, 1 above it.
+    // logarithmic slope: 0 child_wait the upstream's capacity, 1 above it.
     double raised_slope = 0.5;
     double lowered_slope = 0.0;
     time_point reduced_at{};
@@ -78,17 +78,18 @@
 current_limit(const concurrency_limit& limit, time_point now);
 
 // A request starts as the `running`th one.
-[[nodiscard]] limit_sample_start limit_note_start(
+[[nodiscard]] limit_sample_start limit_record_start(
     const concurrency_limit& limit, std::uint32_t running, time_point now);
 
-// A request ended with a reply, a failure or a timeout, after it waited `below`
-// for its child calls. That time says nothing about this upstream's own limit.
-void limit_note_end(
-    concurrency_limit& limit, const limit_sample_start& start, duration below,
-    time_point now);
+// A request ended with a reply, a failure or a timeout, after it waited
+// `child_wait` for its child calls. That time says nothing about this
+// upstream's own limit.
+void limit_record_end(
+    concurrency_limit& limit, const limit_sample_start& start,
+    duration child_wait, time_point now);
 
 // The upstream refused a request for load while `running` were running.
-void limit_note_shed(
+void limit_record_shed(
     concurrency_limit& limit, std::uint32_t running, time_point now);
 
 // Moves from phase to phase and adapts the limit after each probe.
--- a/src/core/gate/fair_queue.cpp
+++ b/src/core/gate/fair_queue.cpp
@@ -50,18 +50,18 @@
 
 void advance_weight(fair_queue& queue, time_point now)
 {
-    if (queue.weighted_at == time_point{})
+    if (queue.weight_updated_at == time_point{})
     {
-        queue.weighted_at = now;
+        queue.weight_updated_at = now;
     }
-    if (now <= queue.weighted_at)
+    if (now <= queue.weight_updated_at)
     {
         return;
     }
-    const double half_lives =
-        to_seconds(now - queue.weighted_at) / to_seconds(service_half_life);
+    const double half_lives = to_seconds(now - queue.weight_updated_at) /
+                              to_seconds(service_half_life);
     queue.service_weight *= std::exp2(half_lives);
-    queue.weighted_at = now;
+    queue.weight_updated_at = now;
     if (queue.service_weight > max_service_weight)
     {
         rescale(queue);
@@ -81,7 +81,7 @@
     }
 }
 
-gate_request take(
+gate_request remove_request(
     fair_queue& queue, class_queue& entry, workspace_id id,
     std::map<std::uint64_t, gate_request>::iterator position)
 {
@@ -93,8 +93,8 @@
     {
         entry.waiting.erase({workspace.served, id});
     }
-    queue.positions.erase(request.ticket);
-    queue.deadlines.erase({request.context.deadline, request.ticket});
+    queue.positions.erase(request.entry_id);
+    queue.deadlines.erase({request.context.deadline, request.entry_id});
     return request;
 }
 
@@ -119,10 +119,10 @@
     workspace_queue& workspace = entry.workspaces[id];
     const std::uint64_t sequence = queue.next_sequence++;
     queue.positions.emplace(
-        request.ticket,
+        request.entry_id,
         queue_position{
             request.context.priority, id, sequence, request.context.deadline});
-    queue.deadlines.emplace(request.context.deadline, request.ticket);
+    queue.deadlines.emplace(request.context.deadline, request.entry_id);
     if (workspace.requests.empty())
     {
         entry.waiting.emplace(workspace.served, id);
@@ -147,14 +147,14 @@
         const auto position = order == queue_order::newest_first
                                   ? std::prev(requests.end())
                                   : requests.begin();
-        gate_request request = take(queue, entry, id, position);
+        gate_request request = remove_request(queue, entry, id, position);
         add_service(queue, entry, id, now);
         return request;
     }
     return std::nullopt;
 }
 
-void queue_note_served(
+void queue_record_served(
     fair_queue& queue, const request_context& context, time_point now)
 {
     add_service(
@@ -162,7 +162,7 @@
 }
 
 std::optional<gate_request>
-queue_displace(fair_queue& queue, const gate_request& newcomer)
+queue_evict(fair_queue& queue, const gate_request& newcomer)
 {
     for (auto level = priority_class_count; level-- > 0;)
     {
@@ -194,14 +194,15 @@
             return std::nullopt;
         }
         auto& requests = entry.workspaces[largest].requests;
-        return take(queue, entry, largest, requests.begin());
+        return remove_request(queue, entry, largest, requests.begin());
     }
     return std::nullopt;
 }
 
-std::optional<gate_request> queue_remove(fair_queue& queue, gate_ticket ticket)
+std::optional<gate_request>
+queue_remove(fair_queue& queue, gate_entry_id entry_id)
 {
-    const auto found = queue.positions.find(ticket);
+    const auto found = queue.positions.find(entry_id);
     if (found == queue.positions.end())
     {
         return std::nullopt;
@@ -209,7 +210,7 @@
     const queue_position position = found->second;
     class_queue& entry = class_of(queue, position.priority);
     auto& requests = entry.workspaces[position.workspace].requests;
-    return take(
+    return remove_request(
         queue, entry, position.workspace, requests.find(position.sequence));
 }
 
@@ -218,8 +219,8 @@
     std::vector<gate_request> expired;
     while (!queue.deadlines.empty() && queue.deadlines.begin()->first <= now)
     {
-        const gate_ticket ticket = queue.deadlines.begin()->second;
-        expired.push_back(*queue_remove(queue, ticket));
+        const gate_entry_id entry_id = queue.deadlines.begin()->second;
+        expired.push_back(*queue_remove(queue, entry_id));
     }
     return expired;
 }
--- a/src/core/gate/fair_queue.hpp
+++ b/src/core/gate/fair_queue.hpp
@@ -19,11 +19,11 @@
 {
 
 // Names a request at one gate; chosen by the caller, unique in its lifetime.
-using gate_ticket = std::uint64_t;
+using gate_entry_id = std::uint64_t;
 
 struct gate_request
 {
-    gate_ticket ticket = 0;
+    gate_entry_id entry_id = 0;
     request_context context;
     time_point arrived{};
     // Was in flight at an upstream's death; runs apart from other suspects.
@@ -58,12 +58,12 @@
 struct fair_queue
 {
     std::array<class_queue, priority_class_count> classes;
-    std::unordered_map<gate_ticket, queue_position> positions;
-    std::set<std::pair<time_point, gate_ticket>> deadlines;
+    std::unordered_map<gate_entry_id, queue_position> positions;
+    std::set<std::pair<time_point, gate_entry_id>> deadlines;
     std::uint64_t next_sequence = 0;
     // What one request of service weighs now, and since when.
     double service_weight = 1.0;
-    time_point weighted_at{};
+    time_point weight_updated_at{};
 };
 
 enum class queue_order : std::uint8_t
@@ -83,17 +83,18 @@
     priority_class lowest_class = priority_class::low);
 
 // Counts a request that was started without waiting.
-void queue_note_served(
+void queue_record_served(
     fair_queue& queue, const request_context& context, time_point now);
 
 // Takes out the request that a newcomer displaces: of the least important
 // class, there the oldest of the workspace whose share is largest. Nothing when
 // the newcomer itself is the one that should go.
 [[nodiscard]] std::optional<gate_request>
-queue_displace(fair_queue& queue, const gate_request& newcomer);
+queue_evict(fair_queue& queue, const gate_request& newcomer);
 
-// Takes out a request by its ticket.
-std::optional<gate_request> queue_remove(fair_queue& queue, gate_ticket ticket);
+// Takes out a request by its entry_id.
+std::optional<gate_request>
+queue_remove(fair_queue& queue, gate_entry_id entry_id);
 
 // Takes out all requests whose deadline is not after `now`.
 [[nodiscard]] std::vector<gate_request>
--- a/src/core/gate/gate.cpp
+++ b/src/core/gate/gate.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t min_queue_size = 8;
 constexpr std::size_t max_waiting_suspects = 64;
 
-bool accepts(const gate_state& gate)
+bool is_accepting(const gate_state& gate)
 {
     return gate.upstream.state == upstream_state::serving ||
            gate.upstream.state == upstream_state::warming;
@@ -25,18 +25,18 @@
     const std::size_t limit = current_limit(gate.limit, now);
     // Where calls are known, most of what waits is calls: work above them has
     // been paid for, and they are short.
-    const bool holds_calls = gate.settings.reserved_for_calls > 0.0;
+    const bool reserves_for_calls = gate.settings.reserved_for_calls > 0.0;
     return std::max(
-        min_queue_size, holds_calls ? limit : limit / queue_divisor);
+        min_queue_size, reserves_for_calls ? limit : limit / queue_divisor);
 }
 
-bool has_room(const gate_state& gate, time_point now)
+bool has_free_slot(const gate_state& gate, time_point now)
 {
     return gate.running.size() < current_limit(gate.limit, now);
 }
 
 // Roots leave some of the limit to calls.
-bool has_room_for_roots(const gate_state& gate, time_point now)
+bool has_free_root_slot(const gate_state& gate, time_point now)
 {
     const double limit = current_limit(gate.limit, now);
     const double share = 1.0 - gate.settings.reserved_for_calls;
@@ -45,34 +45,34 @@
 }
 
 void refuse_all(
-    gate_verdicts& verdicts, const std::vector<gate_request>& requests,
+    gate_decisions& decisions, const std::vector<gate_request>& requests,
     refusal reason)
 {
     for (const auto& request : requests)
     {
-        verdicts.push_back({request.ticket, reason});
+        decisions.push_back({request.entry_id, reason});
     }
 }
 
 void start(
     gate_state& gate, const gate_request& request, time_point now,
-    gate_verdicts& verdicts)
+    gate_decisions& decisions)
 {
     const auto running = static_cast<std::uint32_t>(gate.running.size() + 1);
     gate.running.emplace(
-        request.ticket, gate_running{
-                            limit_note_start(gate.limit, running, now),
-                            request.context.digest, request.context.priority,
-                            request.suspect, request.context.depth == 0});
+        request.entry_id, gate_running{
+                              limit_record_start(gate.limit, running, now),
+                              request.context.digest, request.context.priority,
+                              request.suspect, request.context.depth == 0});
     gate.running_roots += request.context.depth == 0 ? 1 : 0;
     gate.suspect_running = gate.suspect_running || request.suspect;
-    admission_note_start(
+    admission_record_start(
         gate.admission, request.context.priority, now - request.arrived);
-    verdicts.push_back({request.ticket, refusal::none});
+    decisions.push_back({request.entry_id, refusal::none});
 }
 
 // A request that cannot end within its deadline would waste its slot.
-bool is_doomed(
+bool cannot_finish_in_time(
     const gate_state& gate, const gate_request& request, time_point now)
 {
     return request.context.deadline - now <= gate.limit.mean_latency / 2;
@@ -81,9 +81,9 @@
 // How long before its deadline a queued request is given up: it could not end
 // in time, and its caller's node hears that it has not run while it still
 // waits.
-duration answer_margin(const gate_state& gate)
+duration early_refusal_margin(const gate_state& gate)
 {
-    if (!gate.settings.answers_early)
+    if (!gate.settings.refuses_before_deadline)
     {
         return duration::zero();
     }
@@ -92,31 +92,33 @@
     return std::clamp(duration(gate.limit.mean_latency / 2), shortest, longest);
 }
 
-void start_suspect(gate_state& gate, time_point now, gate_verdicts& verdicts)
+void start_suspect(gate_state& gate, time_point now, gate_decisions& decisions)
 {
-    if (gate.suspects.empty() || gate.suspect_running || !has_room(gate, now))
+    if (gate.suspects.empty() || gate.suspect_running ||
+        !has_free_slot(gate, now))
     {
         return;
     }
     const gate_request request = std::move(gate.suspects.front());
     gate.suspects.pop_front();
-    queue_note_served(gate.queue, request.context, now);
-    start(gate, request, now, verdicts);
+    queue_record_served(gate.queue, request.context, now);
+    start(gate, request, now, decisions);
 }
 
-void start_queued(gate_state& gate, time_point now, gate_verdicts& verdicts)
+void start_queued(gate_state& gate, time_point now, gate_decisions& decisions)
 {
     refuse_all(
-        verdicts, queue_take_expired(gate.queue, now + answer_margin(gate)),
+        decisions,
+        queue_take_expired(gate.queue, now + early_refusal_margin(gate)),
         refusal::deadline_exceeded);
-    start_suspect(gate, now, verdicts);
+    start_suspect(gate, now, decisions);
     const queue_order order = gate.admission.overloaded
                                   ? queue_order::newest_first
                                   : queue_order::oldest_first;
-    while (queue_size(gate.queue) > 0 && has_room(gate, now))
+    while (queue_size(gate.queue) > 0 && has_free_slot(gate, now))
     {
         // Calls are of the most important class.
-        const priority_class lowest = has_room_for_roots(gate, now)
+        const priority_class lowest = has_free_root_slot(gate, now)
                                           ? priority_class::low
                                           : priority_class::critical;
         const auto popped = queue_pop(gate.queue, order, now, lowest);
@@ -125,18 +127,18 @@
             return;
         }
         const gate_request& request = *popped;
-        if (is_doomed(gate, request, now))
+        if (cannot_finish_in_time(gate, request, now))
         {
-            admission_note_refusal(gate.admission, request.context.priority);
-            verdicts.push_back({request.ticket, refusal::deadline_exceeded});
+            admission_record_refusal(gate.admission, request.context.priority);
+            decisions.push_back({request.entry_id, refusal::deadline_exceeded});
             continue;
         }
-        start(gate, request, now, verdicts);
+        start(gate, request, now, decisions);
     }
 }
 
 void drop_expired_suspects(
-    gate_state& gate, time_point now, gate_verdicts& verdicts)
+    gate_state& gate, time_point now, gate_decisions& decisions)
 {
     std::erase_if(
         gate.suspects,
@@ -146,20 +148,20 @@
             {
                 return false;
             }
-            verdicts.push_back({request.ticket, refusal::deadline_exceeded});
+            decisions.push_back({request.entry_id, refusal::deadline_exceeded});
             return true;
         });
 }
 
 void enqueue(
     gate_state& gate, gate_request request, time_point now,
-    gate_verdicts& verdicts)
+    gate_decisions& decisions)
 {
     if (request.suspect)
     {
         if (gate.suspects.size() >= max_waiting_suspects)
         {
-            verdicts.push_back({request.ticket, refusal::overloaded});
+            decisions.push_back({request.entry_id, refusal::overloaded});
             return;
         }
         gate.suspects.push_back(std::move(request));
@@ -167,72 +169,73 @@
     }
     if (queue_size(gate.queue) >= queue_bound(gate, now))
     {
-        const auto displaced = queue_displace(gate.queue, request);
-        admission_note_refusal(
+        const auto displaced = queue_evict(gate.queue, request);
+        admission_record_refusal(
             gate.admission,
             displaced ? displaced->context.priority : request.context.priority);
         if (!displaced)
         {
-            verdicts.push_back({request.ticket, refusal::overloaded});
+            decisions.push_back({request.entry_id, refusal::overloaded});
             return;
         }
-        verdicts.push_back({displaced->ticket, refusal::overloaded});
+        decisions.push_back({displaced->entry_id, refusal::overloaded});
     }
     queue_push(gate.queue, std::move(request));
 }
 
 } // namespace
 
-gate_verdicts gate_set_upstream(
+gate_decisions gate_set_upstream(
     gate_state& gate, const upstream_record& record, time_point now)
 {
-    gate_verdicts verdicts;
+    gate_decisions decisions;
     gate.upstream = record;
-    gate.limit.trusts_announced = gate.settings.trusts_announced_slots;
+    gate.limit.is_announcement_exact = gate.settings.has_exact_slots;
     limit_announce(
         gate.limit, record.slots, record.connections,
         record.state == upstream_state::warming, now);
-    if (!accepts(gate))
+    if (!is_accepting(gate))
     {
-        refuse_all(verdicts, queue_take_all(gate.queue), refusal::draining);
+        refuse_all(decisions, queue_take_all(gate.queue), refusal::draining);
         for (const auto& request : gate.suspects)
         {
-            verdicts.push_back({request.ticket, refusal::draining});
+            decisions.push_back({request.entry_id, refusal::draining});
         }
         gate.suspects.clear();
-        return verdicts;
+        return decisions;
     }
-    start_queued(gate, now, verdicts);
-    return verdicts;
+    start_queued(gate, now, decisions);
+    return decisions;
 }
 
-gate_verdicts gate_offer(gate_state& gate, gate_request request, time_point now)
+gate_decisions
+gate_offer(gate_state& gate, gate_request request, time_point now)
 {
-    if (!accepts(gate))
+    if (!is_accepting(gate))
     {
-        return {{request.ticket, refusal::draining}};
+        return {{request.entry_id, refusal::draining}};
     }
     if (request.context.deadline <= now)
     {
-        return {{request.ticket, refusal::deadline_exceeded}};
+        return {{request.entry_id, refusal::deadline_exceeded}};
     }
-    gate_verdicts verdicts;
+    gate_decisions decisions;
     request.arrived = now;
-    admission_note_offer(gate.admission, request.context);
-    enqueue(gate, std::move(request), now, verdicts);
-    start_queued(gate, now, verdicts);
-    return verdicts;
+    admission_record_offer(gate.admission, request.context);
+    enqueue(gate, std::move(request), now, decisions);
+    start_queued(gate, now, decisions);
+    return decisions;
 }
 
-gate_verdicts gate_finish(
-    gate_state& gate, gate_ticket ticket, gate_result result, time_point now,
-    duration below)
+gate_decisions gate_finish(
+    gate_state& gate, gate_entry_id entry_id, gate_result result,
+    time_point now, duration child_wait)
 {
-    gate_verdicts verdicts;
-    const auto found = gate.running.find(ticket);
+    gate_decisions decisions;
+    const auto found = gate.running.find(entry_id);
     if (found == gate.running.end())
     {
-        return verdicts;
+        return decisions;
     }
     const gate_running ended = found->second;
     const auto running = static_cast<std::uint32_t>(gate.running.size());
@@ -244,50 +247,51 @@
     }
     if (result == gate_result::shed)
     {
-        admission_note_refusal(gate.admission, ended.priority);
-        limit_note_shed(gate.limit, running, now);
+        admission_record_refusal(gate.admission, ended.priority);
+        limit_record_shed(gate.limit, running, now);
     }
     else if (result != gate_result::cancelled)
     {
-        limit_note_end(gate.limit, ended.sample, below, now);
+        limit_record_end(gate.limit, ended.sample, child_wait, now);
     }
-    if (accepts(gate))
+    if (is_accepting(gate))
     {
-        start_queued(gate, now, verdicts);
+        start_queued(gate, now, decisions);
     }
-    return verdicts;
+    return decisions;
 }
 
-gate_verdicts gate_cancel(gate_state& gate, gate_ticket ticket, time_point now)
+gate_decisions
+gate_cancel(gate_state& gate, gate_entry_id entry_id, time_point now)
 {
-    gate_verdicts verdicts;
-    if (!queue_remove(gate.queue, ticket))
+    gate_decisions decisions;
+    if (!queue_remove(gate.queue, entry_id))
     {
         std::erase_if(
             gate.suspects,
-            [ticket](const gate_request& request)
+            [entry_id](const gate_request& request)
             {
-                return request.ticket == ticket;
+                return request.entry_id == entry_id;
             });
     }
-    if (accepts(gate))
+    if (is_accepting(gate))
     {
-        start_queued(gate, now, verdicts);
+        start_queued(gate, now, decisions);
     }
-    return verdicts;
+    return decisions;
 }
 
-gate_verdicts gate_tick(gate_state& gate, time_point now)
+gate_decisions gate_tick(gate_state& gate, time_point now)
 {
-    gate_verdicts verdicts;
+    gate_decisions decisions;
     limit_tick(gate.limit, now);
     admission_tick(gate.admission, gate.limit.mean_latency, now);
-    drop_expired_suspects(gate, now, verdicts);
-    if (accepts(gate))
+    drop_expired_suspects(gate, now, decisions);
+    if (is_accepting(gate))
     {
-        start_queued(gate, now, verdicts);
+        start_queued(gate, now, decisions);
     }
-    return verdicts;
+    return decisions;
 }
 
 load_report gate_report(const gate_state& gate, time_point now)
@@ -305,7 +309,7 @@
 std::vector<std::uint64_t> gate_running_digests(const gate_state& gate)
 {
     std::vector<std::uint64_t> digests;
-    for (const auto& [ticket, running] : gate.running)
+    for (const auto& [entry_id, running] : gate.running)
     {
         digests.push_back(running.digest);
     }
--- a/src/core/quarantine/quarantine.cpp
+++ b/src/core/quarantine/quarantine.cpp
@@ -29,7 +29,7 @@
     return alive;
 }
 
-void spread(
+void send_to_random_members(
     const membership_state& members, const quarantine_message& message,
     random_source& random, control_actions& actions)
 {
@@ -46,20 +46,20 @@
 }
 
 // Makes room by forgetting what would be forgotten first anyway.
-void forget_oldest_suspect(quarantine_state& state)
+void evict_oldest_suspect(quarantine_state& state)
 {
     const auto oldest = std::ranges::min_element(
         state.suspects, {},
         [](const auto& entry)
         {
-            return entry.second.forgotten_at;
+            return entry.second.expires_at;
         });
     state.suspects.erase(oldest);
 }
 
 void add_suspect(
-    quarantine_state& state, const upstream_life& death, std::uint64_t digest,
-    time_point now)
+    quarantine_state& state, const upstream_incarnation& death,
+    std::uint64_t digest, time_point now)
 {
     if (state.quarantined.contains(digest))
     {
@@ -68,7 +68,7 @@
     if (state.suspects.size() >= state.settings.max_suspects &&
         !state.suspects.contains(digest))
     {
-        forget_oldest_suspect(state);
+        evict_oldest_suspect(state);
     }
     state.suspects[digest] = {death, now + state.settings.suspicion_time};
 }
@@ -95,8 +95,8 @@
 }
 
 // Counts a death once. Returns false for one that is known.
-bool count_death(
-    quarantine_state& state, const upstream_life& death,
+bool record_crash(
+    quarantine_state& state, const upstream_incarnation& death,
     std::span<const std::uint64_t> digests, time_point now,
     control_actions& actions)
 {
@@ -144,7 +144,7 @@
 }
 
 template <class Entries, class TimeOf>
-void erase_due(Entries& entries, time_point now, TimeOf time_of)
+void erase_expired(Entries& entries, time_point now, TimeOf time_of)
 {
     std::erase_if(
         entries,
@@ -162,14 +162,14 @@
     state.settings = settings;
 }
 
-void quarantine_on_death(
+void quarantine_on_crash(
     quarantine_state& state, const membership_state& members,
-    const upstream_life& death, std::span<const std::uint64_t> digests,
+    const upstream_incarnation& death, std::span<const std::uint64_t> digests,
     time_point now, random_source& random, control_actions& actions)
 {
     const auto reported =
         digests.first(std::min(digests.size(), max_reported_digests));
-    if (!count_death(state, death, reported, now, actions))
+    if (!record_crash(state, death, reported, now, actions))
     {
         return;
     }
@@ -177,7 +177,7 @@
     message.death = death;
     message.digests.assign(reported.begin(), reported.end());
     message.hops = max_hops;
-    spread(members, message, random, actions);
+    send_to_random_members(members, message, random, actions);
 }
 
 void quarantine_on_success(
@@ -192,7 +192,7 @@
     quarantine_message message;
     message.digests = {digest};
     message.hops = max_hops;
-    spread(members, message, random, actions);
+    send_to_random_members(members, message, random, actions);
 }
 
 void quarantine_on_message(
@@ -210,33 +210,33 @@
         actions.events.push_back(std::move(bad));
         return;
     }
-    const bool is_news =
+    const bool is_new =
         decoded->death
-            ? count_death(
+            ? record_crash(
                   state, *decoded->death, decoded->digests, now, actions)
             : clear_suspects(state, decoded->digests);
-    if (is_news)
+    if (is_new)
     {
         decoded->hops = std::min(decoded->hops, max_hops);
         decoded->hops -= decoded->hops > 0 ? 1 : 0;
-        spread(members, *decoded, random, actions);
+        send_to_random_members(members, *decoded, random, actions);
     }
 }
 
 void quarantine_tick(quarantine_state& state, time_point now)
 {
     const auto before = state.suspects.size() + state.quarantined.size();
-    const auto itself = [](time_point at)
+    const auto identity = [](time_point at)
     {
         return at;
     };
-    erase_due(state.deaths, now, itself);
-    erase_due(state.quarantined, now, itself);
-    erase_due(
+    erase_expired(state.deaths, now, identity);
+    erase_expired(state.quarantined, now, identity);
+    erase_expired(
         state.suspects, now,
         [](const suspect& entry)
         {
-            return entry.forgotten_at;
+            return entry.expires_at;
         });
     const auto after = state.suspects.size() + state.quarantined.size();
     state.version += after != before ? 1 : 0;
@@ -255,7 +255,7 @@
     }
     for (const auto& [digest, entry] : state.suspects)
     {
-        due = std::min(due, entry.forgotten_at);
+        due = std::min(due, entry.expires_at);
     }
     return due;
 }
--- a/src/core/quarantine/quarantine.hpp
+++ b/src/core/quarantine/quarantine.hpp
@@ -21,13 +21,13 @@
 {
 
 // One life of one upstream.
-struct upstream_life
+struct upstream_incarnation
 {
     host_id host = host_id::none;
     // Unique within the host; larger is newer.
     std::uint64_t life = 0;
-    bool operator==(const upstream_life&) const = default;
-    bool operator<(const upstream_life& other) const
+    bool operator==(const upstream_incarnation&) const = default;
+    bool operator<(const upstream_incarnation& other) const
     {
         return std::pair(host, life) < std::pair(other.host, other.life);
     }
@@ -35,8 +35,8 @@
 
 struct suspect
 {
-    upstream_life first_death;
-    time_point forgotten_at{};
+    upstream_incarnation first_crash;
+    time_point expires_at{};
 };
 
 struct quarantine_settings
@@ -56,7 +56,7 @@
     // By digest: when it is let in again.
     std::map<std::uint64_t, time_point> quarantined;
     // Deaths that were counted, so that a report counts once.
-    std::map<upstream_life, time_point> deaths;
+    std::map<upstream_incarnation, time_point> deaths;
     // Grows with each change of suspects or quarantined.
     std::uint64_t version = 0;
 };
@@ -73,9 +73,9 @@
     quarantine_state& state, const quarantine_settings& settings);
 
 // The local upstream died in this life while `digests` were in flight.
-void quarantine_on_death(
+void quarantine_on_crash(
     quarantine_state& state, const membership_state& members,
-    const upstream_life& death, std::span<const std::uint64_t> digests,
+    const upstream_incarnation& death, std::span<const std::uint64_t> digests,
     time_point now, random_source& random, control_actions& actions);
 
 // A request ended without a death. Nothing happens unless it is a suspect.
--- a/src/core/quarantine/quarantine_messages.hpp
+++ b/src/core/quarantine/quarantine_messages.hpp
@@ -16,7 +16,7 @@
 struct quarantine_message
 {
     // Without it, the digests are cleared.
-    std::optional<upstream_life> death;
+    std::optional<upstream_incarnation> death;
     std::vector<std::uint64_t> digests;
     std::uint8_t hops = 0;
 };
--- a/src/core/request/call.cpp
+++ b/src/core/request/call.cpp
@@ -16,7 +16,7 @@
 
 constexpr unsigned first_server_error = 500;
 // A request that so many nodes turned away is refused.
-constexpr std::uint32_t most_turned_away = 2;
+constexpr std::uint32_t max_node_refusals = 2;
 
 call_step refuse(
     refusal reason, outcome result, duration retry_after = {},
@@ -32,9 +32,9 @@
 
 // When a caller that was refused for load should come back: spread, so that
 // those who were refused together do not return together.
-duration return_time(const request_path& path, random_source& random)
+duration retry_delay(const request_path& path, random_source& random)
 {
-    if (!path.keyless_are_calls)
+    if (!path.treats_keyless_as_calls)
     {
         return 1s;
     }
@@ -51,7 +51,7 @@
 
 // Hands what the choice saw of the service's levels to the record of the
 // parent, whose reply carries it to the entry node.
-void note_level_below(
+void record_choice_level(
     request_path& path, const call_state& call, const routing_choice& choice,
     time_point now)
 {
@@ -65,7 +65,7 @@
     }
     else if (choice.reason == refusal::overloaded)
     {
-        note_route_level(
+        record_route_level(
             path.levels, call.route, choice.level, level_scope::part_of_route,
             now);
     }
@@ -82,18 +82,18 @@
     assert(!call.context.never_repeat || !call.may_have_run);
     const auto view = path.routing.read();
     auto choice = choose_upstream(*view, call.context, call.tried, now, random);
-    note_level_below(path, call, choice, now);
+    record_choice_level(path, call, choice, now);
     if (choice.reason != refusal::none)
     {
         return refuse(
-            choice.reason, outcome_of(call), return_time(path, random),
+            choice.reason, outcome_of(call), retry_delay(path, random),
             choice_inputs(choice, call.tried.size()));
     }
     call.target = std::move(choice.candidate);
     call.tried.push_back(call.target.location.host);
     call.attempt_started = now;
     ++call.attempts;
-    note_attempt_started(*call.target.stats);
+    record_attempt_started(*call.target.stats);
     call_step step;
     step.kind = call_step_kind::attempt;
     step.target = call.target;
@@ -105,11 +105,11 @@
     return step;
 }
 
-// Refuses a root request that a service below its route would refuse.
+// Refuses a root request that a service child_wait its route would refuse.
 std::optional<call_step> refuse_early(
     request_path& path, call_state& call, time_point now, random_source& random)
 {
-    if (path.keyless_are_calls)
+    if (path.treats_keyless_as_calls)
     {
         call.is_throttled = throttle_admits(
             path.throttle, call.route, call.context.priority, call.is_resend,
@@ -119,7 +119,7 @@
             return std::nullopt;
         }
         return refuse(
-            refusal::overloaded, outcome::not_run, return_time(path, random),
+            refusal::overloaded, outcome::not_run, retry_delay(path, random),
             throttle_inputs(
                 call.route, state_of_route(path.throttle, call.route)));
     }
@@ -129,11 +129,11 @@
         return std::nullopt;
     }
     return refuse(
-        refusal::overloaded, outcome::not_run, return_time(path, random));
+        refusal::overloaded, outcome::not_run, retry_delay(path, random));
 }
 
 // Counts a root request against its workspace's retry budget when it is a
-// re-send. Without budget it is refused only while the services below the
+// re-send. Without budget it is refused only while the services child_wait the
 // route are overloaded, so that no refusal is made that capacity did not force.
 std::optional<call_step>
 count_resend(request_path& path, call_state& call, time_point now)
@@ -143,7 +143,7 @@
         take_failed_request(path.retries, call.context.digest, now);
     if (!failed)
     {
-        note_first_attempt(path.retries, workspace, call.context.service);
+        record_first_attempt(path.retries, workspace, call.context.service);
         return std::nullopt;
     }
     // A re-send keeps its slot: drawing again would only add load.
@@ -160,7 +160,7 @@
     return refuse(refusal::retry_budget_exhausted, outcome::not_run, 1s);
 }
 
-call_step after_token(
+call_step continue_after_token(
     request_path& path, call_state& call, time_point now, random_source& random)
 {
     if (!call.needs_claim)
@@ -168,8 +168,8 @@
         return next_attempt(path, call, now, random);
     }
     call_step step;
-    step.kind = call_step_kind::ask_claim;
-    step.question = {
+    step.kind = call_step_kind::request_claim;
+    step.requested_claim = {
         call.id,
         call.context.workspace,
         call.context.idempotency_key,
@@ -197,7 +197,7 @@
 
 // Upstreams are judged by what requests saw: a reply that reports a fault of
 // the upstream counts as a failure, one that reports load does not.
-attempt_status judged_status(const attempt_result& result)
+attempt_status status_for_stats(const attempt_result& result)
 {
     const bool fault = result.http_status == 500 || result.http_status == 502;
     return result.status == attempt_status::replied && fault
@@ -212,7 +212,7 @@
                             result.result == outcome::not_run);
 }
 
-void note_downstream(
+void record_downstream_level(
     request_path& path, const call_state& call, const attempt_result& result,
     time_point now)
 {
@@ -224,13 +224,13 @@
     }
     const bool whole = result.status == attempt_status::replied &&
                        result.http_status < first_server_error;
-    note_route_level(
+    record_route_level(
         path.levels, call.route, level,
         whole ? level_scope::whole_route : level_scope::part_of_route, now);
 }
 
 // An attempt that ended without its upstream's word keeps what was passed.
-void take_back_allowance(call_state& call, const attempt_result& result)
+void reclaim_allowance(call_state& call, const attempt_result& result)
 {
     const std::uint16_t passed = std::exchange(call.passed_allowance, 0);
     const std::uint16_t returned =
@@ -240,14 +240,14 @@
 
 // The node beside the upstream refused, so that no upstream has seen the
 // request: another may take it without a repeat.
-bool was_turned_away(const attempt_result& result)
+bool is_node_refusal(const attempt_result& result)
 {
     return has_not_run(result) && (result.reason == refusal::overloaded ||
                                    result.reason == refusal::draining ||
                                    result.reason == refusal::no_upstream);
 }
 
-bool may_retry(
+bool try_take_retry(
     request_path& path, const call_state& call, const attempt_result& result)
 {
     if (result.status == attempt_status::cancelled || !result.replayable ||
@@ -265,15 +265,15 @@
 
 // How long ago the trust in keys ended; negative while they are trusted. A node
 // that has been cut off may not know of withdrawn keys.
-duration past_key_trust(const request_path& path, time_point now)
+duration time_since_keys_expired(const request_path& path, time_point now)
 {
     return now.time_since_epoch() -
-           duration(path.keys_valid_until.load(std::memory_order_relaxed));
+           duration(path.keys_fresh_until.load(std::memory_order_relaxed));
 }
 
-bool are_keys_valid(const request_path& path, time_point now)
+bool are_keys_fresh(const request_path& path, time_point now)
 {
-    return past_key_trust(path, now) < duration::zero();
+    return time_since_keys_expired(path, now) < duration::zero();
 }
 
 } // namespace
@@ -285,7 +285,7 @@
     if (path.refuses_new)
     {
         return refuse(
-            refusal::draining, outcome::not_run, return_time(path, random));
+            refusal::draining, outcome::not_run, retry_delay(path, random));
     }
     const auto tables = path.tables.read();
     if (tables->revision == 0)
@@ -299,11 +299,11 @@
         return refuse(
             refusal::no_route, outcome::not_run, {}, version_inputs(*tables));
     }
-    if (request.key && !route->settings.open && !are_keys_valid(path, now))
+    if (request.key && !route->settings.open && !are_keys_fresh(path, now))
     {
         return refuse(
             refusal::not_configured, outcome::not_run, 1s,
-            key_trust_inputs(*tables, past_key_trust(path, now)));
+            stale_key_inputs(*tables, time_since_keys_expired(path, now)));
     }
     workspace_id workspace = workspace_id::none;
     if (request.parent)
@@ -332,8 +332,8 @@
     }
     if (request.parent)
     {
-        note_first_attempt(path.retries, workspace, call.context.service);
-        return after_token(path, call, now, random);
+        record_first_attempt(path.retries, workspace, call.context.service);
+        return continue_after_token(path, call, now, random);
     }
     if (auto refused = count_resend(path, call, now))
     {
@@ -345,7 +345,7 @@
     }
     if (workspace == workspace_id::none || call.unlimited)
     {
-        return after_token(path, call, now, random);
+        return continue_after_token(path, call, now, random);
     }
     const token_answer answer = take_token(
         path.limiter, workspace, call.id, call.context.deadline, now);
@@ -353,9 +353,9 @@
     {
     case token_verdict::admitted:
         call.holds_token = true;
-        return after_token(path, call, now, random);
+        return continue_after_token(path, call, now, random);
     case token_verdict::refused:
-        call.ended_aside = true;
+        call.ended_without_load_signal = true;
         return refuse(
             refusal::rate_exceeded, outcome::not_run, answer.retry_after,
             rate_inputs(*tables, call.workspace, answer));
@@ -373,7 +373,7 @@
 {
     if (!admitted)
     {
-        call.ended_aside = true;
+        call.ended_without_load_signal = true;
         const auto tables = path.tables.read();
         const token_answer answer =
             refused_by_bucket(path.limiter, call.context.workspace);
@@ -382,7 +382,7 @@
             rate_inputs(*tables, call.workspace, answer));
     }
     call.holds_token = true;
-    return after_token(path, call, now, random);
+    return continue_after_token(path, call, now, random);
 }
 
 call_step call_on_claim(
@@ -420,20 +420,20 @@
     request_path& path, call_state& call, const attempt_result& result,
     time_point now, random_source& random)
 {
-    note_attempt_ended(
-        *call.target.stats, judged_status(result), now - call.attempt_started,
-        now);
+    record_attempt_ended(
+        *call.target.stats, status_for_stats(result),
+        now - call.attempt_started, now);
     if (has_not_run(result) && result.reason == refusal::no_upstream)
     {
-        note_unreachable(*call.target.stats, now);
+        record_unreachable(*call.target.stats, now);
     }
     else if (result.load)
     {
-        note_load_report(*call.target.stats, *result.load, now);
-        note_downstream(path, call, result, now);
+        record_load_report(*call.target.stats, *result.load, now);
+        record_downstream_level(path, call, result, now);
     }
-    take_back_allowance(call, result);
-    call.ended_aside = result.status == attempt_status::cancelled;
+    reclaim_allowance(call, result);
+    call.ended_without_load_signal = result.status == attempt_status::cancelled;
     if (result.status == attempt_status::replied)
     {
         call.has_run = true;
@@ -444,13 +444,13 @@
         return step;
     }
     call.may_have_run = call.may_have_run || !has_not_run(result);
-    if (path.retries_turned_away && was_turned_away(result) &&
-        result.replayable && call.turned_away < most_turned_away)
+    if (path.retries_node_refusals && is_node_refusal(result) &&
+        result.replayable && call.node_refusals < max_node_refusals)
     {
-        ++call.turned_away;
+        ++call.node_refusals;
         return next_attempt(path, call, now, random);
     }
-    if (may_retry(path, call, result))
+    if (try_take_retry(path, call, result))
     {
         --call.context.retry_allowance;
         return next_attempt(path, call, now, random);
@@ -458,19 +458,20 @@
     const refusal reason = result.reason == refusal::none
                                ? refusal::upstream_failed
                                : result.reason;
-    return refuse(reason, outcome_of(call), return_time(path, random));
+    return refuse(reason, outcome_of(call), retry_delay(path, random));
 }
 
 void end_call(request_path& path, call_state& call, time_point now)
 {
-    if (call.is_throttled && !call.ended_aside)
+    if (call.is_throttled && !call.ended_without_load_signal)
     {
-        throttle_note_end(path.throttle, call.route, call.answered, now);
+        throttle_record_end(path.throttle, call.route, call.answered, now);
     }
     if (call.parent_record)
     {
-        call.parent_record->allowance.give_back(call.context.retry_allowance);
-        call.parent_record->below.note_end(now);
+        call.parent_record->allowance.return_share(
+            call.context.retry_allowance);
+        call.parent_record->child_wait.record_end(now);
         call.parent_record.reset();
     }
     if (call.context.depth > 0)
@@ -480,13 +481,13 @@
     cancel_wait(path.limiter, call.context.workspace, call.id);
     // A lent token stays used: its lender has been told.
     if (call.holds_token && !call.may_have_run && !call.has_run &&
-        path.keyless_are_calls)
+        path.treats_keyless_as_calls)
     {
         give_back_token(path.limiter, call.context.workspace, now);
     }
     if (!call.answered && call.context.digest != 0)
     {
-        note_failed_request(
+        record_failed_request(
             path.retries, {call.context.digest, call.context.slot, now});
     }
 }
--- a/src/core/request/call.hpp
+++ b/src/core/request/call.hpp
@@ -46,10 +46,10 @@
     route_throttle throttle;
     // Upstreams make their calls without a key or a handle: requests without
     // a key are taken for calls.
-    bool keyless_are_calls = false;
+    bool treats_keyless_as_calls = false;
     // What an upstream's node turned away goes to another upstream without a
     // repeat being counted.
-    bool retries_turned_away = false;
+    bool retries_node_refusals = false;
     std::atomic<bool> draining{false};
     // The planned stop is so near that new requests might be cut.
     std::atomic<bool> refuses_new{false};
@@ -59,7 +59,7 @@
     // Until when keys may be trusted without a newer proof that the
     // configuration here is the newest; nanoseconds of the clock, the largest
     // value where no proof is asked for.
-    std::atomic<std::int64_t> keys_valid_until{
+    std::atomic<std::int64_t> keys_fresh_until{
         std::numeric_limits<std::int64_t>::max()};
 };
 
@@ -93,7 +93,7 @@
     // Wait for the token waiter with the call's id, then call_on_token.
     wait_for_token,
     // Ask for a claim, then call_on_claim.
-    ask_claim,
+    request_claim,
     // Send the request to `target` with `context`, then call_on_attempt.
     attempt,
     // The attempt's reply goes to the caller as it is.
@@ -109,7 +109,7 @@
     // What decided a refusal, for the log.
     std::string inputs;
     stored_reply reply;
-    claim_question question;
+    claim_question requested_claim;
     routing_candidate target;
     request_context context;
 };
@@ -128,7 +128,7 @@
     bool may_have_run = false;
     std::uint32_t attempts = 0;
     // Attempts that an upstream's node turned away before its upstream.
-    std::uint32_t turned_away = 0;
+    std::uint32_t node_refusals = 0;
     // Went out with the attempt under way and may come back with its end.
     std::uint16_t passed_allowance = 0;
     std::shared_ptr<call_record> parent_record;
@@ -147,7 +147,7 @@
     // Counted by the throttle, which hears of its end.
     bool is_throttled = false;
     // Ended for a reason that says nothing of load.
-    bool ended_aside = false;
+    bool ended_without_load_signal = false;
     std::vector<host_id> tried;
     // The attempt under way.
     routing_candidate target;
--- a/src/core/request/call_context.cpp
+++ b/src/core/request/call_context.cpp
@@ -43,7 +43,7 @@
         call.parent_record = request.parent_record;
         if (call.parent_record)
         {
-            call.parent_record->below.note_begin(now);
+            call.parent_record->child_wait.record_begin(now);
         }
         context.retry_allowance =
             request.parent_record
@@ -53,7 +53,7 @@
         return;
     }
     context.trace = {random(), random()};
-    if (path.keyless_are_calls && !request.key)
+    if (path.treats_keyless_as_calls && !request.key)
     {
         context.depth = 1;
     }
--- a/src/core/request/call_record.cpp
+++ b/src/core/request/call_record.cpp
@@ -19,7 +19,7 @@
     return level_at(positions_.load(std::memory_order_relaxed));
 }
 
-void child_time::note_begin(time_point now)
+void child_wait_time::record_begin(time_point now)
 {
     const std::scoped_lock lock(mutex_);
     if (open_++ == 0)
@@ -28,7 +28,7 @@
     }
 }
 
-void child_time::note_end(time_point now)
+void child_wait_time::record_end(time_point now)
 {
     const std::scoped_lock lock(mutex_);
     if (open_ > 0 && --open_ == 0)
@@ -37,7 +37,7 @@
     }
 }
 
-duration child_time::total(time_point now) const
+duration child_wait_time::total(time_point now) const
 {
     const std::scoped_lock lock(mutex_);
     return open_ > 0 ? total_ + (now - opened_at_) : total_;
--- a/src/core/request/call_record.hpp
+++ b/src/core/request/call_record.hpp
@@ -13,7 +13,7 @@
 namespace cyclamenhold
 {
 
-// The most restrictive admission level that the calls below a request met.
+// The most restrictive admission level that the calls child_wait a request met.
 // Thread-safe.
 class downstream_level
 {
@@ -27,11 +27,11 @@
 
 // How long a running request has waited for its child calls, overlapping ones
 // counted once. Thread-safe.
-class child_time
+class child_wait_time
 {
 public:
-    void note_begin(time_point now);
-    void note_end(time_point now);
+    void record_begin(time_point now);
+    void record_end(time_point now);
     [[nodiscard]] duration total(time_point now) const;
 
 private:
@@ -51,7 +51,7 @@
     request_context context;
     allowance_pool allowance;
     downstream_level downstream;
-    child_time below;
+    child_wait_time child_wait;
 };
 
 } // namespace cyclamenhold
--- a/src/core/request/refusal_inputs.cpp
+++ b/src/core/request/refusal_inputs.cpp
@@ -10,11 +10,12 @@
     return absl::StrFormat("version %d", tables.revision);
 }
 
-std::string key_trust_inputs(const request_tables& tables, duration past_trust)
+std::string
+stale_key_inputs(const request_tables& tables, duration since_expiry)
 {
     return absl::StrFormat(
         "version %d, its trust ended %.3f s ago", tables.revision,
-        to_seconds(past_trust));
+        to_seconds(since_expiry));
 }
 
 std::string rate_inputs(
--- a/src/core/request/refusal_inputs.hpp
+++ b/src/core/request/refusal_inputs.hpp
@@ -20,7 +20,7 @@
 
 // For keys that are not trusted: since when no proof of the version came.
 [[nodiscard]] std::string
-key_trust_inputs(const request_tables& tables, duration past_trust);
+stale_key_inputs(const request_tables& tables, duration since_expiry);
 
 [[nodiscard]] std::string rate_inputs(
     const request_tables& tables, std::string_view workspace,
--- a/src/core/request/route_levels.cpp
+++ b/src/core/request/route_levels.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-void note_route_level(
+void record_route_level(
     route_levels& levels, std::string_view route, const admission_level& level,
     level_scope scope, time_point now)
 {
--- a/src/core/request/route_levels.hpp
+++ b/src/core/request/route_levels.hpp
@@ -37,7 +37,7 @@
     part_of_route
 };
 
-void note_route_level(
+void record_route_level(
     route_levels& levels, std::string_view route, const admission_level& level,
     level_scope scope, time_point now);
 
--- a/src/core/request/route_throttle.hpp
+++ b/src/core/request/route_throttle.hpp
@@ -1,8 +1,8 @@
 // Adaptive throttling of a route at its entry: when the requests of a route
 // keep failing below, be it at a service that the route needs several calls
-// deep, fewer are let in, until most of those end well; when they do, more are
-// let in again. Less important routes back off at a smaller share of failures,
-// so that they make room first. Thread-safe.
+// deep, fewer are let in, until most of those end succeeded; when they do, more
+// are let in again. Less important routes back off at a smaller share of
+// failures, so that they make room first. Thread-safe.
 #pragma once
 
 #include "core/base/outcome.hpp"
@@ -22,7 +22,7 @@
     double open = 1.0;
     // Below this share nothing has been seen to fail, so that it is reached
     // again in large steps.
-    double cautious_from = 1.0;
+    double slow_growth_from = 1.0;
     bool is_shrinking = false;
     // Decaying counts of requests that were let in and ended.
     double ended = 0.0;
@@ -56,8 +56,8 @@
     bool is_resend, time_point now, random_source& random);
 
 // A request that was let in ended.
-void throttle_note_end(
-    route_throttle& throttle, std::string_view route, bool well,
+void throttle_record_end(
+    route_throttle& throttle, std::string_view route, bool succeeded,
     time_point now);
 
 } // namespace cyclamenhold
--- a/src/core/retries/allowance.cpp
+++ b/src/core/retries/allowance.cpp
@@ -18,7 +18,7 @@
     return 0;
 }
 
-void allowance_pool::give_back(std::uint16_t amount)
+void allowance_pool::return_share(std::uint16_t amount)
 {
     std::uint32_t available = available_.load(std::memory_order_relaxed);
     while (available != closed &&
--- a/src/core/retries/allowance.hpp
+++ b/src/core/retries/allowance.hpp
@@ -23,7 +23,7 @@
 
     // Gives back what a child call did not use. After the pool was closed it
     // is lost, which keeps the bound.
-    void give_back(std::uint16_t amount);
+    void return_share(std::uint16_t amount);
 
     // Takes everything, for the reply to the caller's node; the pool is closed
     // from then on.
--- a/src/core/retries/retry_budget.cpp
+++ b/src/core/retries/retry_budget.cpp
@@ -26,7 +26,7 @@
 double& tokens_of(retry_budget& budget, service_id service)
 {
     const auto [found, is_new] = budget.services.try_emplace(
-        service, retry_tokens{budget.most_for_service});
+        service, retry_tokens{budget.max_service_tokens});
     return found->second.tokens;
 }
 
@@ -41,14 +41,14 @@
 
 } // namespace
 
-void note_first_attempt(
+void record_first_attempt(
     retry_budget& budget, workspace_id workspace, service_id service)
 {
     const std::scoped_lock lock(budget.mutex);
     double& tokens = tokens_of(budget, workspace);
     tokens = std::min(max_tokens, tokens + retry_share);
     double& of_service = tokens_of(budget, service);
-    of_service = std::min(budget.most_for_service, of_service + retry_share);
+    of_service = std::min(budget.max_service_tokens, of_service + retry_share);
 }
 
 bool take_retry(
@@ -66,17 +66,17 @@
     return true;
 }
 
-void limit_service_retries(retry_budget& budget, double most)
+void set_max_service_tokens(retry_budget& budget, double most)
 {
     const std::scoped_lock lock(budget.mutex);
-    budget.most_for_service = most;
+    budget.max_service_tokens = most;
     for (auto& [service, entry] : budget.services)
     {
         entry.tokens = std::min(entry.tokens, most);
     }
 }
 
-void note_failed_request(retry_budget& budget, const failed_request& request)
+void record_failed_request(retry_budget& budget, const failed_request& request)
 {
     const std::scoped_lock lock(budget.mutex);
     entry_of(budget, request.digest) = request;
--- a/src/core/retries/retry_budget.hpp
+++ b/src/core/retries/retry_budget.hpp
@@ -37,13 +37,13 @@
     std::unordered_map<workspace_id, retry_tokens> workspaces;
     std::unordered_map<service_id, retry_tokens> services;
     // What a service may save up at this node; its part of what the fleet may.
-    double most_for_service = std::numeric_limits<double>::max();
+    double max_service_tokens = std::numeric_limits<double>::max();
     // A direct-mapped table by digest: bounded, and the newest stays.
     std::vector<failed_request> failed;
 };
 
 // A first attempt of the workspace at the service.
-void note_first_attempt(
+void record_first_attempt(
     retry_budget& budget, workspace_id workspace, service_id service);
 
 // Takes one retry out of the budgets of both; false when one has none.
@@ -51,10 +51,10 @@
 take_retry(retry_budget& budget, workspace_id workspace, service_id service);
 
 // Sets what each service may save up at this node.
-void limit_service_retries(retry_budget& budget, double most);
+void set_max_service_tokens(retry_budget& budget, double most);
 
 // A root request failed or was refused, so that its caller may send it again.
-void note_failed_request(retry_budget& budget, const failed_request& request);
+void record_failed_request(retry_budget& budget, const failed_request& request);
 
 // The failure lately of which a root request is the caller's re-send, if any.
 // Each failure is matched by one re-send.
--- a/src/core/routing/routing.cpp
+++ b/src/core/routing/routing.cpp
@@ -25,7 +25,7 @@
 constexpr double failure_penalty = 10.0;
 // Above this part of its limit an upstream is taken to be nearly full: beyond
 // the limit requests queue.
-constexpr double nearly_full = 0.9;
+constexpr double queueing_threshold = 0.9;
 constexpr double queueing_slope = 8.0;
 // The limit assumed of an upstream that announced nothing usable.
 constexpr double default_limit = 10.0;
@@ -37,7 +37,7 @@
     boost::container::small_vector<const routing_candidate*, 16>;
 
 // What all candidates of one choice are judged by.
-struct choice_situation
+struct selection_context
 {
     time_point now{};
     // Stands for the latency of upstreams whose own is not known.
@@ -94,7 +94,7 @@
 double relative_load(const routing_candidate& candidate, time_point now)
 {
     const upstream_stats& stats = *candidate.stats;
-    return (believed_load(stats, now) + 1.0) /
+    return (estimated_load(stats, now) + 1.0) /
            (limit_of(candidate) * probation_share(stats, now));
 }
 
@@ -140,7 +140,7 @@
     int known = 0;
     for (const auto* candidate : candidates)
     {
-        const duration latency = believed_latency(*candidate->stats);
+        const duration latency = estimated_latency(*candidate->stats);
         sum += latency;
         known += latency > duration::zero() ? 1 : 0;
     }
@@ -150,13 +150,14 @@
 // How long one more request is expected to take, in seconds. Upstreams differ
 // in speed, slow down when they are nearly full, and queue beyond that.
 double expected_time(
-    const routing_candidate& candidate, const choice_situation& situation)
+    const routing_candidate& candidate, const selection_context& selection)
 {
-    const duration believed = believed_latency(*candidate.stats);
+    const duration believed = estimated_latency(*candidate.stats);
     const duration latency =
-        believed > duration::zero() ? believed : situation.typical;
-    const double load = relative_load(candidate, situation.now);
-    const double queueing = queueing_slope * std::max(0.0, load - nearly_full);
+        believed > duration::zero() ? believed : selection.typical;
+    const double load = relative_load(candidate, selection.now);
+    const double queueing =
+        queueing_slope * std::max(0.0, load - queueing_threshold);
     const double failures =
         1.0 + failure_penalty * failure_share(*candidate.stats);
     return to_seconds(latency) * (1.0 + std::pow(load, 4) + queueing) *
@@ -164,7 +165,7 @@
 }
 
 const routing_candidate* better_of_two(
-    const candidate_list& candidates, const choice_situation& situation,
+    const candidate_list& candidates, const selection_context& selection,
     random_source& random)
 {
     const auto size = candidates.size();
@@ -174,19 +175,19 @@
         return candidates[first];
     }
     const auto second = (first + 1 + random_below(random, size - 1)) % size;
-    return expected_time(*candidates[second], situation) <
-                   expected_time(*candidates[first], situation)
+    return expected_time(*candidates[second], selection) <
+                   expected_time(*candidates[first], selection)
                ? candidates[second]
                : candidates[first];
 }
 
 // Local upstreams first; another data centre when there are none, or when a
 // request is expected to take clearly less time there.
-const routing_candidate* pick(
+const routing_candidate* select_candidate(
     const candidate_list& candidates, data_centre_id local_data_centre,
     time_point now, random_source& random)
 {
-    const choice_situation situation{now, typical_latency(candidates)};
+    const selection_context selection{now, typical_latency(candidates)};
     candidate_list local;
     candidate_list remote;
     for (const auto* candidate : candidates)
@@ -197,17 +198,17 @@
     }
     if (local.empty())
     {
-        return better_of_two(remote, situation, random);
+        return better_of_two(remote, selection, random);
     }
-    const auto* const here = better_of_two(local, situation, random);
+    const auto* const here = better_of_two(local, selection, random);
     if (remote.empty())
     {
         return here;
     }
-    const auto* const there = better_of_two(remote, situation, random);
+    const auto* const there = better_of_two(remote, selection, random);
     const bool is_better_there =
-        expected_time(*there, situation) <
-        expected_time(*here, situation) * spill_advantage;
+        expected_time(*there, selection) <
+        expected_time(*here, selection) * spill_advantage;
     return is_better_there ? there : here;
 }
 
@@ -270,7 +271,7 @@
     return view;
 }
 
-bool note_host_unreachable(
+bool record_host_unreachable(
     const routing_view& view, host_id host, time_point now)
 {
     bool is_new = false;
@@ -280,7 +281,7 @@
         {
             if (candidate.location.host == host)
             {
-                is_new = note_unreachable(*candidate.stats, now) || is_new;
+                is_new = record_unreachable(*candidate.stats, now) || is_new;
             }
         }
     }
@@ -310,7 +311,7 @@
     std::uint32_t most_open = 0;
     for (const auto* candidate : usable)
     {
-        const admission_level level = believed_level(*candidate->stats, now);
+        const admission_level level = effective_level(*candidate->stats, now);
         most_open = std::max(most_open, open_positions(level));
         if (passes(level, context.priority, context.slot))
         {
@@ -323,7 +324,7 @@
         choice.reason = refusal::overloaded;
         return choice;
     }
-    choice.candidate = *pick(
+    choice.candidate = *select_candidate(
         accepting.empty() ? usable : accepting, view.local_data_centre, now,
         random);
     return choice;
--- a/src/core/routing/routing.hpp
+++ b/src/core/routing/routing.hpp
@@ -36,7 +36,7 @@
 
 // Notes that the host does not answer, for all upstreams there. False when that
 // was known of all of them.
-bool note_host_unreachable(
+bool record_host_unreachable(
     const routing_view& view, host_id host, time_point now);
 
 struct routing_choice
--- a/src/core/routing/upstream_stats.cpp
+++ b/src/core/routing/upstream_stats.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint32_t millionths = 1'000'000;
 constexpr std::uint32_t failure_weight_divisor = 10;
 constexpr std::uint32_t ejecting_failure_share = 600'000;
-constexpr std::uint32_t min_judged = 10;
+constexpr std::uint32_t min_attempts_to_eject = 10;
 constexpr std::uint32_t ejecting_failures_in_a_row = 5;
 constexpr duration first_ejection = 2s;
 constexpr std::uint32_t max_ejection_doublings = 4;
@@ -48,17 +48,17 @@
         std::memory_order_relaxed);
     stats.failures_in_a_row.store(0, std::memory_order_relaxed);
     stats.failure_share.store(0, std::memory_order_relaxed);
-    stats.judged.store(0, std::memory_order_relaxed);
+    stats.attempts_since_ejection.store(0, std::memory_order_relaxed);
 }
 
-void note_success(upstream_stats& stats, time_point now)
+void record_success(upstream_stats& stats, time_point now)
 {
     stats.failures_in_a_row.store(0, std::memory_order_relaxed);
     const std::uint32_t share =
         stats.failure_share.load(std::memory_order_relaxed);
     stats.failure_share.store(
         share - share / failure_weight_divisor, std::memory_order_relaxed);
-    stats.judged.fetch_add(1, std::memory_order_relaxed);
+    stats.attempts_since_ejection.fetch_add(1, std::memory_order_relaxed);
     // A spell without ejection forgives the earlier ones.
     if (probation_share(stats, now) >= 1.0)
     {
@@ -66,7 +66,7 @@
     }
 }
 
-void note_failure(upstream_stats& stats, time_point now)
+void record_failure(upstream_stats& stats, time_point now)
 {
     if (is_ejected(stats, now))
     {
@@ -75,13 +75,15 @@
     const bool on_probation = probation_share(stats, now) < 1.0;
     const auto in_a_row =
         stats.failures_in_a_row.fetch_add(1, std::memory_order_relaxed) + 1;
-    const auto judged =
-        stats.judged.fetch_add(1, std::memory_order_relaxed) + 1;
+    const auto attempts_since_ejection =
+        stats.attempts_since_ejection.fetch_add(1, std::memory_order_relaxed) +
+        1;
     const auto before = stats.failure_share.load(std::memory_order_relaxed);
     const std::uint32_t share =
         before + (millionths - before) / failure_weight_divisor;
     stats.failure_share.store(share, std::memory_order_relaxed);
-    const bool often = judged >= min_judged && share >= ejecting_failure_share;
+    const bool often = attempts_since_ejection >= min_attempts_to_eject &&
+                       share >= ejecting_failure_share;
     const bool again = on_probation && in_a_row >= 2;
     if (often || again || in_a_row >= ejecting_failures_in_a_row)
     {
@@ -91,12 +93,12 @@
 
 } // namespace
 
-void note_attempt_started(upstream_stats& stats)
+void record_attempt_started(upstream_stats& stats)
 {
     stats.outstanding.fetch_add(1, std::memory_order_relaxed);
 }
 
-void note_attempt_ended(
+void record_attempt_ended(
     upstream_stats& stats, attempt_status status, duration /*latency*/,
     time_point now)
 {
@@ -104,11 +106,11 @@
     switch (status)
     {
     case attempt_status::replied:
-        note_success(stats, now);
+        record_success(stats, now);
         return;
     case attempt_status::failed:
     case attempt_status::timed_out:
-        note_failure(stats, now);
+        record_failure(stats, now);
         return;
     case attempt_status::refused:
     case attempt_status::cancelled:
@@ -116,14 +118,14 @@
     }
 }
 
-bool note_unreachable(upstream_stats& stats, time_point now)
+bool record_unreachable(upstream_stats& stats, time_point now)
 {
     if (is_unreachable(stats, now))
     {
         return false;
     }
     const std::uint32_t earlier =
-        stats.times_unreachable.fetch_add(1, std::memory_order_relaxed);
+        stats.unreachable_count.fetch_add(1, std::memory_order_relaxed);
     const auto doublings = std::min(earlier, max_unreachable_doublings);
     stats.unreachable_until.store(
         nanoseconds(now + first_unreachable * (1U << doublings)),
@@ -137,10 +139,10 @@
            stats.unreachable_until.load(std::memory_order_relaxed);
 }
 
-void note_load_report(
+void record_load_report(
     upstream_stats& stats, const load_report& report, time_point now)
 {
-    stats.times_unreachable.store(0, std::memory_order_relaxed);
+    stats.unreachable_count.store(0, std::memory_order_relaxed);
     stats.unreachable_until.store(0, std::memory_order_relaxed);
     stats.reported_load.store(
         report.in_flight + report.queued, std::memory_order_relaxed);
@@ -160,7 +162,7 @@
     stats.reported_at.store(nanoseconds(now), std::memory_order_relaxed);
 }
 
-double believed_load(const upstream_stats& stats, time_point now)
+double estimated_load(const upstream_stats& stats, time_point now)
 {
     const double outstanding =
         stats.outstanding.load(std::memory_order_relaxed);
@@ -174,7 +176,7 @@
     return std::max(outstanding, reported + outstanding - before);
 }
 
-duration believed_latency(const upstream_stats& stats)
+duration estimated_latency(const upstream_stats& stats)
 {
     return std::chrono::nanoseconds(
         stats.reported_latency.load(std::memory_order_relaxed));
@@ -186,7 +188,7 @@
            double(millionths);
 }
 
-admission_level believed_level(const upstream_stats& stats, time_point now)
+admission_level effective_level(const upstream_stats& stats, time_point now)
 {
     const std::uint32_t positions =
         stats.reported_level.load(std::memory_order_relaxed);
--- a/src/core/routing/upstream_stats.hpp
+++ b/src/core/routing/upstream_stats.hpp
@@ -32,7 +32,7 @@
     std::atomic<std::uint32_t> failure_share{0};
     std::atomic<std::uint32_t> failures_in_a_row{0};
     // Attempts ended since the last ejection ended.
-    std::atomic<std::uint32_t> judged{0};
+    std::atomic<std::uint32_t> attempts_since_ejection{0};
     std::atomic<std::uint32_t> ejections{0};
     // Nanoseconds of the clock: no requests until then, few for a while after.
     std::atomic<std::int64_t> ejected_until{0};
@@ -40,7 +40,7 @@
     // that was meant; asked again after that.
     std::atomic<std::int64_t> unreachable_until{0};
     // Since the last sign of life.
-    std::atomic<std::uint32_t> times_unreachable{0};
+    std::atomic<std::uint32_t> unreachable_count{0};
 };
 
 // How an attempt at an upstream ended, as its caller's node saw it.
@@ -56,32 +56,33 @@
     cancelled
 };
 
-void note_attempt_started(upstream_stats& stats);
-void note_attempt_ended(
+void record_attempt_started(upstream_stats& stats);
+void record_attempt_ended(
     upstream_stats& stats, attempt_status status, duration latency,
     time_point now);
 // The upstream's host is silent, could not be connected to, or is not in the
 // life that was meant. Requests go elsewhere for a while, twice as long each
 // time until it answers. False when they did already.
-bool note_unreachable(upstream_stats& stats, time_point now);
+bool record_unreachable(upstream_stats& stats, time_point now);
 [[nodiscard]] bool is_unreachable(const upstream_stats& stats, time_point now);
 
-void note_load_report(
+void record_load_report(
     upstream_stats& stats, const load_report& report, time_point now);
 
 // The load an upstream is believed to carry: its last report, corrected by
 // what this node has sent and got back since.
-[[nodiscard]] double believed_load(const upstream_stats& stats, time_point now);
+[[nodiscard]] double
+estimated_load(const upstream_stats& stats, time_point now);
 
 // The mean latency it last reported; zero when unknown.
-[[nodiscard]] duration believed_latency(const upstream_stats& stats);
+[[nodiscard]] duration estimated_latency(const upstream_stats& stats);
 
 // The share of the latest attempts of this node that failed there.
 [[nodiscard]] double failure_share(const upstream_stats& stats);
 
 // The admission level it last reported, fully open once the report is stale.
 [[nodiscard]] admission_level
-believed_level(const upstream_stats& stats, time_point now);
+effective_level(const upstream_stats& stats, time_point now);
 
 [[nodiscard]] bool is_ejected(const upstream_stats& stats, time_point now);
 
--- a/tests/core/entry_test.cpp
+++ b/tests/core/entry_test.cpp
@@ -16,8 +16,8 @@
     entry_node()
     {
         path.fleet_secret = fleet_secret;
-        path.keyless_are_calls = true;
-        path.retries_turned_away = true;
+        path.treats_keyless_as_calls = true;
+        path.retries_node_refusals = true;
         configuration current;
         current.revision = 1;
         current.workspaces.push_back({"school", 100.0, 100.0, true});
@@ -82,7 +82,7 @@
 TEST(entry, keys_need_a_proof_of_the_newest_configuration)
 {
     entry_node node;
-    node.path.keys_valid_until = (start_time + 4s).time_since_epoch().count();
+    node.path.keys_fresh_until = (start_time + 4s).time_since_epoch().count();
     call_state fresh;
     EXPECT_EQ(node.enter(fresh, true).kind, call_step_kind::attempt);
     {
--- a/tests/core/gate_test.cpp
+++ b/tests/core/gate_test.cpp
@@ -20,11 +20,11 @@
 }
 
 gate_request make_request(
-    gate_ticket ticket, priority_class priority = priority_class::normal,
+    gate_entry_id entry_id, priority_class priority = priority_class::normal,
     std::uint64_t workspace = 1, time_point deadline = start_time + 10s)
 {
     gate_request request;
-    request.ticket = ticket;
+    request.entry_id = entry_id;
     request.context.priority = priority;
     request.context.workspace = static_cast<workspace_id>(workspace);
     request.context.deadline = deadline;
@@ -38,13 +38,14 @@
     return gate;
 }
 
-bool holds(const gate_verdicts& verdicts, gate_ticket ticket, refusal reason)
+bool holds(
+    const gate_decisions& decisions, gate_entry_id entry_id, refusal reason)
 {
     return std::ranges::any_of(
-        verdicts,
-        [&](const gate_verdict& verdict)
+        decisions,
+        [&](const gate_decision& decision)
         {
-            return verdict.ticket == ticket && verdict.reason == reason;
+            return decision.entry_id == entry_id && decision.reason == reason;
         });
 }
 
@@ -69,12 +70,12 @@
     {
         SCOPED_TRACE("the important class goes first, then the workspace that "
                      "was served least, then the oldest");
-        gate_ticket ended = 1;
-        for (const gate_ticket next : {5, 4, 2, 3})
+        gate_entry_id ended = 1;
+        for (const gate_entry_id next : {5, 4, 2, 3})
         {
-            const auto verdicts =
+            const auto decisions =
                 gate_finish(gate, ended, gate_result::replied, start_time);
-            EXPECT_TRUE(holds(verdicts, next, refusal::none)) << next;
+            EXPECT_TRUE(holds(decisions, next, refusal::none)) << next;
             ended = next;
         }
     }
@@ -83,38 +84,38 @@
 TEST(gate, full_queue)
 {
     gate_state gate = make_gate(1);
-    gate_ticket ticket = 0;
+    gate_entry_id entry_id = 0;
     while (queue_size(gate.queue) < 8)
     {
         (void)gate_offer(
-            gate, make_request(++ticket, priority_class::low), start_time);
+            gate, make_request(++entry_id, priority_class::low), start_time);
     }
     {
         SCOPED_TRACE("a more important request takes the place of another");
-        const auto verdicts = gate_offer(
+        const auto decisions = gate_offer(
             gate, make_request(100, priority_class::high), start_time);
-        ASSERT_EQ(verdicts.size(), 1U);
-        EXPECT_EQ(verdicts[0].reason, refusal::overloaded);
-        EXPECT_NE(verdicts[0].ticket, 100U);
+        ASSERT_EQ(decisions.size(), 1U);
+        EXPECT_EQ(decisions[0].reason, refusal::overloaded);
+        EXPECT_NE(decisions[0].entry_id, 100U);
     }
     {
         SCOPED_TRACE("a workspace with little in the queue takes the place of "
                      "one with much");
-        const auto verdicts = gate_offer(
+        const auto decisions = gate_offer(
             gate, make_request(101, priority_class::low, 2), start_time);
-        ASSERT_EQ(verdicts.size(), 1U);
-        EXPECT_NE(verdicts[0].ticket, 101U);
+        ASSERT_EQ(decisions.size(), 1U);
+        EXPECT_NE(decisions[0].entry_id, 101U);
     }
     {
         SCOPED_TRACE("nothing less important displaces");
-        for (gate_ticket next = 200; next < 300; ++next)
+        for (gate_entry_id next = 200; next < 300; ++next)
         {
             (void)gate_offer(
                 gate, make_request(next, priority_class::high), start_time);
         }
-        const auto verdicts = gate_offer(
+        const auto decisions = gate_offer(
             gate, make_request(300, priority_class::low, 9), start_time);
-        EXPECT_TRUE(holds(verdicts, 300, refusal::overloaded));
+        EXPECT_TRUE(holds(decisions, 300, refusal::overloaded));
     }
 }
 
@@ -135,10 +136,10 @@
     {
         SCOPED_TRACE("cancelled requests are forgotten");
         EXPECT_TRUE(gate_cancel(gate, 3, start_time + 60ms).empty());
-        const auto verdicts =
+        const auto decisions =
             gate_finish(gate, 1, gate_result::replied, start_time + 70ms);
-        ASSERT_EQ(verdicts.size(), 1U);
-        EXPECT_TRUE(holds(verdicts, 4, refusal::none));
+        ASSERT_EQ(decisions.size(), 1U);
+        EXPECT_TRUE(holds(decisions, 4, refusal::none));
     }
     {
         SCOPED_TRACE("a draining upstream gets nothing more");
@@ -157,14 +158,14 @@
 TEST(gate, suspects_run_one_at_a_time)
 {
     gate_state gate = make_gate(10);
-    for (const gate_ticket ticket : {1, 2})
+    for (const gate_entry_id entry_id : {1, 2})
     {
-        gate_request request = make_request(ticket);
+        gate_request request = make_request(entry_id);
         request.suspect = true;
-        request.context.digest = 70 + ticket;
+        request.context.digest = 70 + entry_id;
         const bool started =
             !gate_offer(gate, std::move(request), start_time).empty();
-        EXPECT_EQ(started, ticket == 1);
+        EXPECT_EQ(started, entry_id == 1);
     }
     EXPECT_TRUE(
         holds(gate_offer(gate, make_request(3), start_time), 3, refusal::none));
@@ -181,20 +182,20 @@
 {
     gate_state gate = make_gate(announced);
     random_source random(7);
-    std::multimap<time_point, gate_ticket> ends;
-    std::deque<gate_ticket> inside;
+    std::multimap<time_point, gate_entry_id> ends;
+    std::deque<gate_entry_id> inside;
     std::size_t busy = 0;
-    gate_ticket next = 0;
+    gate_entry_id next = 0;
     time_point now = start_time;
     time_point tick_at = now;
-    const auto begin_inside = [&](gate_ticket ticket)
+    const auto begin_inside = [&](gate_entry_id entry_id)
     {
         ++busy;
-        ends.emplace(now + 20ms + random_below(random, 20) * 1ms, ticket);
+        ends.emplace(now + 20ms + random_below(random, 20) * 1ms, entry_id);
     };
-    const auto take = [&](const gate_verdicts& verdicts)
+    const auto take = [&](const gate_decisions& decisions)
     {
-        for (const auto& [ticket, reason] : verdicts)
+        for (const auto& [entry_id, reason] : decisions)
         {
             if (reason != refusal::none)
             {
@@ -202,10 +203,10 @@
             }
             if (busy < slots)
             {
-                begin_inside(ticket);
+                begin_inside(entry_id);
                 continue;
             }
-            inside.push_back(ticket);
+            inside.push_back(entry_id);
         }
     };
     while (now < start_time + length)
@@ -220,7 +221,7 @@
         now += 1ms;
         while (!ends.empty() && ends.begin()->first <= now)
         {
-            const gate_ticket ticket = ends.begin()->second;
+            const gate_entry_id entry_id = ends.begin()->second;
             ends.erase(ends.begin());
             --busy;
             if (!inside.empty())
@@ -228,7 +229,7 @@
                 begin_inside(inside.front());
                 inside.pop_front();
             }
-            take(gate_finish(gate, ticket, gate_result::replied, now));
+            take(gate_finish(gate, entry_id, gate_result::replied, now));
         }
         if (now >= tick_at)
         {
@@ -268,10 +269,10 @@
 TEST(gate, shedding_upstream)
 {
     gate_state gate = make_gate(100);
-    gate_ticket ticket = 0;
+    gate_entry_id entry_id = 0;
     for (int i = 0; i < 100; ++i)
     {
-        (void)gate_offer(gate, make_request(++ticket), start_time);
+        (void)gate_offer(gate, make_request(++entry_id), start_time);
     }
     (void)gate_finish(gate, 1, gate_result::shed, start_time + 100ms);
     EXPECT_EQ(gate_report(gate, start_time + 100ms).limit, 90U);
@@ -283,10 +284,10 @@
     gate.settings = {true, 0.25, true};
     EXPECT_TRUE(gate_set_upstream(gate, serving(20), start_time).empty());
     EXPECT_EQ(current_limit(gate.limit, start_time), 19U);
-    gate_ticket ticket = 0;
+    gate_entry_id entry_id = 0;
     for (int i = 0; i < 40; ++i)
     {
-        (void)gate_offer(gate, make_request(++ticket), start_time);
+        (void)gate_offer(gate, make_request(++entry_id), start_time);
     }
     const auto roots = gate.running.size();
     {
@@ -296,21 +297,22 @@
     }
     {
         SCOPED_TRACE("a call of an upstream starts at once");
-        auto call = make_request(++ticket, priority_class::critical);
+        auto call = make_request(++entry_id, priority_class::critical);
         call.context.depth = 1;
         EXPECT_TRUE(
-            holds(gate_offer(gate, call, start_time), ticket, refusal::none));
+            holds(gate_offer(gate, call, start_time), entry_id, refusal::none));
     }
     {
         SCOPED_TRACE("its end gives no callers' request the room of calls");
-        (void)gate_finish(gate, ticket, gate_result::replied, start_time + 5ms);
+        (void)gate_finish(
+            gate, entry_id, gate_result::replied, start_time + 5ms);
         EXPECT_EQ(gate.running_roots, roots);
     }
     {
         SCOPED_TRACE("the end of a caller's request does");
-        const auto verdicts =
+        const auto decisions =
             gate_finish(gate, 1, gate_result::replied, start_time + 100ms);
-        EXPECT_EQ(verdicts.size(), 1U);
+        EXPECT_EQ(decisions.size(), 1U);
         EXPECT_EQ(gate.running_roots, roots);
     }
 }
@@ -320,9 +322,9 @@
     gate_state gate;
     gate.settings = {true, 0.0, true};
     (void)gate_set_upstream(gate, serving(100), start_time);
-    for (gate_ticket ticket = 1; ticket <= 50; ++ticket)
+    for (gate_entry_id entry_id = 1; entry_id <= 50; ++entry_id)
     {
-        (void)gate_offer(gate, make_request(ticket), start_time);
+        (void)gate_offer(gate, make_request(entry_id), start_time);
     }
     (void)gate_finish(gate, 1, gate_result::shed, start_time + 100ms);
     EXPECT_LT(current_limit(gate.limit, start_time + 100ms), 50U);
@@ -336,15 +338,15 @@
 TEST(gate, refuses_before_the_caller_gives_up)
 {
     gate_state gate = make_gate(1);
-    gate.settings.answers_early = true;
+    gate.settings.refuses_before_deadline = true;
     // Runs of 200 ms.
-    for (gate_ticket ticket = 1; ticket < 60; ++ticket)
+    for (gate_entry_id entry_id = 1; entry_id < 60; ++entry_id)
     {
-        const time_point at = start_time + ticket * 200ms;
+        const time_point at = start_time + entry_id * 200ms;
         (void)gate_offer(
-            gate, make_request(ticket, priority_class::normal, 1, at + 10s),
+            gate, make_request(entry_id, priority_class::normal, 1, at + 10s),
             at);
-        (void)gate_finish(gate, ticket, gate_result::replied, at + 200ms);
+        (void)gate_finish(gate, entry_id, gate_result::replied, at + 200ms);
     }
     const time_point now = start_time + 60 * 200ms;
     (void)gate_offer(
--- a/tests/core/quarantine_test.cpp
+++ b/tests/core/quarantine_test.cpp
@@ -81,7 +81,7 @@
     const std::vector<std::uint64_t>& digests)
 {
     control_actions actions;
-    quarantine_on_death(
+    quarantine_on_crash(
         fleet.states[node], fleet.members[node],
         {fleet.states[node].settings.self, life}, digests, start_time,
         fleet.random, actions);
--- a/tests/core/retries_test.cpp
+++ b/tests/core/retries_test.cpp
@@ -156,10 +156,10 @@
     }
     {
         SCOPED_TRACE("what comes back can be taken again, until the reply");
-        pool.give_back(2);
+        pool.return_share(2);
         EXPECT_EQ(pool.take_share(), 1);
         EXPECT_EQ(pool.close(), 1);
-        pool.give_back(1);
+        pool.return_share(1);
         EXPECT_EQ(pool.take_share(), 0);
         EXPECT_EQ(pool.close(), 0);
     }
@@ -172,7 +172,7 @@
     std::size_t retries = 0;
     for (int i = 0; i < 1000; ++i)
     {
-        note_first_attempt(budget, workspace, service_id_of("shop"));
+        record_first_attempt(budget, workspace, service_id_of("shop"));
         retries += take_retry(budget, workspace, service_id_of("shop")) ? 1 : 0;
     }
     EXPECT_LE(retries, 110U);
@@ -184,13 +184,13 @@
     }
     {
         SCOPED_TRACE("a failure is matched by one re-send, for a while");
-        note_failed_request(budget, {42, 7, start_time});
+        record_failed_request(budget, {42, 7, start_time});
         const auto failed = take_failed_request(budget, 42, start_time + 1s);
         ASSERT_TRUE(failed.has_value());
         EXPECT_EQ(failed->slot, 7);
         EXPECT_FALSE(
             take_failed_request(budget, 42, start_time + 1s).has_value());
-        note_failed_request(budget, {42, 7, start_time});
+        record_failed_request(budget, {42, 7, start_time});
         EXPECT_FALSE(
             take_failed_request(budget, 42, start_time + 11s).has_value());
     }
--- a/tests/core/route_throttle_test.cpp
+++ b/tests/core/route_throttle_test.cpp
@@ -37,7 +37,7 @@
         room -= let_in ? std::min(room, 1.0) : 0.0;
         if (let_in)
         {
-            throttle_note_end(throttle, "route", well, now);
+            throttle_record_end(throttle, "route", well, now);
         }
         if (i >= judged_from)
         {
@@ -84,7 +84,7 @@
             throttle, "route", priority_class::low, false, now, random);
         if (let_in)
         {
-            throttle_note_end(throttle, "route", works, now);
+            throttle_record_end(throttle, "route", works, now);
         }
         return let_in;
     };
@@ -136,7 +136,7 @@
                     random))
             {
                 ++let_in;
-                throttle_note_end(throttle, "route", works, now);
+                throttle_record_end(throttle, "route", works, now);
             }
         }
         return static_cast<double>(let_in) / offered;
@@ -165,7 +165,7 @@
         if (throttle_admits(
                 throttle, "route", priority_class::low, is_resend, now, random))
         {
-            throttle_note_end(throttle, "route", i % 5 == 0, now);
+            throttle_record_end(throttle, "route", i % 5 == 0, now);
             (is_resend ? returning : newcomers) += 1;
         }
     }
--- a/tests/core/routing_test.cpp
+++ b/tests/core/routing_test.cpp
@@ -82,7 +82,7 @@
         sample.limit = 100;
         sample.in_flight = in_flight;
         sample.latency = latency;
-        note_load_report(*candidates(view)[index].stats, sample, start_time);
+        record_load_report(*candidates(view)[index].stats, sample, start_time);
     };
     {
         SCOPED_TRACE("a little slower is no reason to leave the data centre");
@@ -126,8 +126,9 @@
         upstream_stats& stats = *candidates(view)[index].stats;
         for (int i = 0; i < 5; ++i)
         {
-            note_attempt_started(stats);
-            note_attempt_ended(stats, attempt_status::failed, 1ms, start_time);
+            record_attempt_started(stats);
+            record_attempt_ended(
+                stats, attempt_status::failed, 1ms, start_time);
         }
     };
     fail(0);
@@ -152,8 +153,8 @@
     auto view = view_of(
         {location(1, here), location(2, elsewhere), location(3, elsewhere)});
     const auto cut = make_host_id(0x0a000001, 1);
-    EXPECT_TRUE(note_host_unreachable(view, cut, start_time));
-    EXPECT_FALSE(note_host_unreachable(view, cut, start_time));
+    EXPECT_TRUE(record_host_unreachable(view, cut, start_time));
+    EXPECT_FALSE(record_host_unreachable(view, cut, start_time));
     EXPECT_EQ(spread(view, start_time)[0], 0);
     {
         SCOPED_TRACE("it is asked again after a while");
@@ -162,24 +163,24 @@
     {
         SCOPED_TRACE("and left alone for longer when it still does not answer");
         const auto again = start_time + 600ms;
-        EXPECT_TRUE(note_host_unreachable(view, cut, again));
+        EXPECT_TRUE(record_host_unreachable(view, cut, again));
         EXPECT_EQ(spread(view, again + 900ms)[0], 0);
         EXPECT_EQ(spread(view, again + 1100ms)[0], 1000);
     }
     {
         SCOPED_TRACE("any answer ends that");
         const auto later = start_time + 5s;
-        EXPECT_TRUE(note_host_unreachable(view, cut, later));
+        EXPECT_TRUE(record_host_unreachable(view, cut, later));
         load_report report;
         report.limit = 100;
-        note_load_report(*candidates(view)[0].stats, report, later);
+        record_load_report(*candidates(view)[0].stats, report, later);
         EXPECT_EQ(spread(view, later)[0], 1000);
     }
     {
         SCOPED_TRACE("when none answers, all are tried");
         for (std::uint16_t number = 1; number <= 3; ++number)
         {
-            EXPECT_TRUE(note_host_unreachable(
+            EXPECT_TRUE(record_host_unreachable(
                 view, make_host_id(0x0a000001, number), start_time + 9s));
         }
         EXPECT_EQ(spread(view, start_time + 9s)[0], 1000);
@@ -192,7 +193,7 @@
     load_report report;
     report.limit = 100;
     report.level = {priority_class::critical, 10};
-    note_load_report(*candidates(view)[0].stats, report, start_time);
+    record_load_report(*candidates(view)[0].stats, report, start_time);
     EXPECT_LE(spread(view, start_time)[0], 50);
     EXPECT_GE(spread(view, start_time)[0], 5);
     EXPECT_EQ(spread(view, start_time + 3s)[0], 1000);
--- a/tests/support/call_fleet.hpp
+++ b/tests/support/call_fleet.hpp
@@ -19,7 +19,7 @@
 struct virtual_attempt
 {
     std::size_t host = 0;
-    gate_ticket ticket = 0;
+    gate_entry_id entry_id = 0;
     request_context context;
     std::size_t route = 0;
     std::size_t position = 0;
@@ -52,7 +52,7 @@
     request_path path;
     gate_state gate;
     virtual_upstream upstream;
-    std::unordered_map<gate_ticket, attempt_pointer> attempts;
+    std::unordered_map<gate_entry_id, attempt_pointer> attempts;
     // For the fixed limit.
     std::deque<attempt_pointer> fixed_queue;
     std::uint32_t fixed_running = 0;
--- a/tests/support/fleet_calls.hpp
+++ b/tests/support/fleet_calls.hpp
@@ -149,7 +149,7 @@
         {
         case call_step_kind::wait_for_token:
             return;
-        case call_step_kind::ask_claim:
+        case call_step_kind::request_claim:
             fleet_.act(
                 node,
                 [&](control_state& control, time_point now,
@@ -157,7 +157,7 @@
                 {
                     claims_ask(
                         control.claims, inputs_of_claims(control),
-                        next.question, now, random, actions);
+                        next.requested_claim, now, random, actions);
                 });
             return;
         case call_step_kind::attempt:
@@ -262,21 +262,21 @@
             refuse(target, id, attempt, refusal::claim_unavailable);
             return;
         }
-        const gate_ticket ticket = ++last_ticket_;
-        runs_[ticket] = {target.host, target.life, id, attempt};
+        const gate_entry_id entry_id = ++last_entry_id_;
+        runs_[entry_id] = {target.host, target.life, id, attempt};
         take(
             target,
-            gate_offer(gates_[target.host], {ticket, context, local}, local));
+            gate_offer(gates_[target.host], {entry_id, context, local}, local));
     }
 
-    void take(virtual_node& target, const gate_verdicts& verdicts)
+    void take(virtual_node& target, const gate_decisions& decisions)
     {
-        for (const auto& verdict : verdicts)
+        for (const auto& decision : decisions)
         {
-            const upstream_run run = runs_.at(verdict.ticket);
-            if (verdict.reason != refusal::none)
+            const upstream_run run = runs_.at(decision.entry_id);
+            if (decision.reason != refusal::none)
             {
-                refuse(target, run.call, run.attempt, verdict.reason);
+                refuse(target, run.call, run.attempt, decision.reason);
                 continue;
             }
             note_run(run);
@@ -284,9 +284,9 @@
                 std::chrono::milliseconds(5 + random_below(fleet_.random, 60));
             fleet_.network.at(
                 fleet_.now() + service,
-                [this, ticket = verdict.ticket]
+                [this, entry_id = decision.entry_id]
                 {
-                    finish_run(ticket);
+                    finish_run(entry_id);
                 });
         }
     }
@@ -306,9 +306,9 @@
         }
     }
 
-    void finish_run(gate_ticket ticket)
+    void finish_run(gate_entry_id entry_id)
     {
-        const upstream_run run = runs_.at(ticket);
+        const upstream_run run = runs_.at(entry_id);
         virtual_node& target = *fleet_.nodes.at(run.host);
         if (!target.up || target.life != run.life)
         {
@@ -316,7 +316,7 @@
         }
         take(
             target, gate_finish(
-                        gates_[run.host], ticket, gate_result::replied,
+                        gates_[run.host], entry_id, gate_result::replied,
                         fleet_.local_now(target)));
         answer(
             target, run.call, run.attempt,
@@ -372,9 +372,9 @@
 
     virtual_fleet& fleet_;
     std::uint64_t last_id_ = 0;
-    gate_ticket last_ticket_ = 0;
+    gate_entry_id last_entry_id_ = 0;
     std::map<host_id, gate_state> gates_;
-    std::map<gate_ticket, upstream_run> runs_;
+    std::map<gate_entry_id, upstream_run> runs_;
 };
 
 } // namespace cyclamenhold::testing_support
--- a/tests/support/virtual_baselines.hpp
+++ b/tests/support/virtual_baselines.hpp
@@ -103,7 +103,7 @@
     const auto& chain = fleet.deployment.routes[call.route].chain;
     const auto attempt = std::make_shared<virtual_attempt>();
     attempt->host = plain_upstream(fleet, call.node, chain[call.position]);
-    attempt->ticket = fleet.next_id++;
+    attempt->entry_id = fleet.next_id++;
     attempt->context.deadline = call.deadline;
     attempt->route = call.route;
     attempt->position = call.position;
--- a/tests/support/virtual_calls.hpp
+++ b/tests/support/virtual_calls.hpp
@@ -51,8 +51,8 @@
                : remote_delay;
 }
 
-void take_verdicts(
-    call_fleet& fleet, virtual_host& host, const gate_verdicts& verdicts);
+void take_decisions(
+    call_fleet& fleet, virtual_host& host, const gate_decisions& decisions);
 
 // For the fixed limit: starts what waits, first come first served.
 void start_fixed(call_fleet& fleet, virtual_host& host);
@@ -69,13 +69,13 @@
     }
     attempt->ended = true;
     virtual_host& host = *fleet.hosts[attempt->host];
-    host.attempts.erase(attempt->ticket);
-    gate_verdicts verdicts;
+    host.attempts.erase(attempt->entry_id);
+    gate_decisions decisions;
     if (attempt->started && fleet.policy == overload_policy::adaptive)
     {
-        verdicts = gate_finish(
-            host.gate, attempt->ticket, at_gate, fleet.clock.now,
-            attempt->record->below.total(fleet.clock.now));
+        decisions = gate_finish(
+            host.gate, attempt->entry_id, at_gate, fleet.clock.now,
+            attempt->record->child_wait.total(fleet.clock.now));
     }
     if (attempt->record)
     {
@@ -84,7 +84,7 @@
         result.load->downstream = attempt->record->downstream.read();
     }
     attempt->done(result);
-    take_verdicts(fleet, host, verdicts);
+    take_decisions(fleet, host, decisions);
     if (attempt->started && fleet.policy == overload_policy::fixed_limit)
     {
         --host.fixed_running;
@@ -179,12 +179,12 @@
     serve_next(fleet, host);
 }
 
-inline void take_verdicts(
-    call_fleet& fleet, virtual_host& host, const gate_verdicts& verdicts)
+inline void take_decisions(
+    call_fleet& fleet, virtual_host& host, const gate_decisions& decisions)
 {
-    for (const auto& [ticket, reason] : verdicts)
+    for (const auto& [entry_id, reason] : decisions)
     {
-        const auto found = host.attempts.find(ticket);
+        const auto found = host.attempts.find(entry_id);
         if (found == host.attempts.end())
         {
             continue;
@@ -219,10 +219,10 @@
     virtual_host& host = *fleet.hosts[attempt->host];
     if (!attempt->started)
     {
-        const auto verdicts =
-            gate_cancel(host.gate, attempt->ticket, fleet.clock.now);
+        const auto decisions =
+            gate_cancel(host.gate, attempt->entry_id, fleet.clock.now);
         end_attempt(fleet, attempt, result, gate_result::cancelled);
-        take_verdicts(fleet, host, verdicts);
+        take_decisions(fleet, host, decisions);
         return;
     }
     release_slot(fleet, attempt);
@@ -241,7 +241,7 @@
         attempt->done(result);
         return;
     }
-    host.attempts.emplace(attempt->ticket, attempt);
+    host.attempts.emplace(attempt->entry_id, attempt);
     run_after(
         fleet.clock, attempt->context.deadline - fleet.clock.now,
         [&fleet, attempt]()
@@ -249,9 +249,9 @@
             expire_attempt(fleet, attempt);
         });
     gate_request request;
-    request.ticket = attempt->ticket;
+    request.entry_id = attempt->entry_id;
     request.context = attempt->context;
-    take_verdicts(
+    take_decisions(
         fleet, host,
         gate_offer(host.gate, std::move(request), fleet.clock.now));
 }
@@ -262,7 +262,7 @@
     const auto attempt = std::make_shared<virtual_attempt>();
     attempt->host = static_cast<std::uint64_t>(step.target.location.host) -
                     static_cast<std::uint64_t>(fleet.hosts[0]->id);
-    attempt->ticket = fleet.next_id++;
+    attempt->entry_id = fleet.next_id++;
     attempt->context = step.context;
     attempt->route = call->route;
     attempt->position = call->position;
--- a/tests/support/virtual_run.hpp
+++ b/tests/support/virtual_run.hpp
@@ -125,7 +125,7 @@
         fleet.clock, 10ms,
         [&fleet, &host]()
         {
-            take_verdicts(fleet, host, gate_tick(host.gate, fleet.clock.now));
+            take_decisions(fleet, host, gate_tick(host.gate, fleet.clock.now));
             schedule_tick(fleet, host);
         });
 }
@@ -136,7 +136,7 @@
 {
     host.alive = false;
     const auto attempts = std::exchange(host.attempts, {});
-    for (const auto& [ticket, attempt] : attempts)
+    for (const auto& [entry_id, attempt] : attempts)
     {
         attempt->ended = true;
         attempt->done(attempt_result{});
