--- a/src/core/gate/admission.cpp
+++ b/src/core/gate/admission.cpp
@@ -11,24 +11,26 @@
 
 constexpr duration window_length = 100ms;
 constexpr duration min_target_delay = 20ms;
-// A class is_class_overloaded when its requests wait longer than this part of
-// the mean latency.
+// A class is overloaded when its requests wait on average longer than the mean
+// latency divided by this.
 constexpr int target_latency_divisor = 4;
-// The counts keep about so many requests in memory, within bounds.
+// The counts decay so that they cover about this many requests, within the
+// bounds below.
 constexpr double decay_requests = 100.0;
 constexpr double min_decay = 0.8;
 constexpr double max_decay = 0.97;
-// While a class is_class_overloaded, this much more than was started is let
-// through, so that the queue does not run empty.
+// While a class is overloaded, the level admits this multiple of the requests
+// that started, so that the queue does not run empty.
 constexpr double start_headroom = 1.05;
-// When the offers are no more than that and it still is_class_overloaded, a
-// small step.
+// Applied to the open slots when the offered requests are within that bound and
+// the class is still overloaded.
 constexpr double fallback_close_factor = 0.97;
-// The first calm window opens this many positions, each later one twice as
-// many as the one before.
+// Positions opened by the first window without overload; each later window
+// opens twice as many as the one before.
 constexpr std::uint32_t initial_open_step = 1;
 constexpr std::uint32_t max_doublings = 6;
-// The level never closes below this, which keeps learning possible.
+// The level never closes below this, so that some requests still start and the
+// counts stay current.
 constexpr std::uint32_t min_open_positions = 1;
 
 bool is_class_overloaded(const class_window& window, duration target)
@@ -50,7 +52,8 @@
     return std::nullopt;
 }
 
-// The number of slots whose offers add up to what may be let through.
+// Returns the number of slots whose offered requests add up to the number that
+// may be admitted.
 std::uint32_t slots_for(const class_demand& demand, std::uint32_t open_slots)
 {
     const double wanted = demand.started * start_headroom;
@@ -70,15 +73,16 @@
 {
     const auto first =
         static_cast<std::uint32_t>(overloaded_class * admission_slot_count);
-    // A class that is not let in is_class_overloaded from what its callers have
-    // not heard yet; that moves nothing.
-    if (control.open <= first)
+    // When the whole class is already closed, the requests that overload it
+    // come from callers that have not received the level yet. Closing further
+    // would not help.
+    if (control.open_count <= first)
     {
         return;
     }
-    const std::uint32_t open_slots =
-        std::min<std::uint32_t>(control.open - first, admission_slot_count);
-    control.open = std::max(
+    const std::uint32_t open_slots = std::min<std::uint32_t>(
+        control.open_count - first, admission_slot_count);
+    control.open_count = std::max(
         min_open_positions,
         first + slots_for(control.demands[overloaded_class], open_slots));
     control.windows_without_overload = 0;
@@ -89,9 +93,9 @@
     const auto doublings =
         std::min(control.windows_without_overload, max_doublings);
     ++control.windows_without_overload;
-    control.open = std::min(
+    control.open_count = std::min(
         admission_position_count,
-        control.open + (initial_open_step << doublings));
+        control.open_count + (initial_open_step << doublings));
 }
 
 void decay_counts(admission_control& control)
@@ -168,7 +172,7 @@
 
 admission_level level_of(const admission_control& control)
 {
-    return level_at(control.open);
+    return level_at(control.open_count);
 }
 
 } // namespace cyclamenhold
--- a/src/core/gate/admission.hpp
+++ b/src/core/gate/admission.hpp
@@ -1,7 +1,8 @@
 // The admission level that a gate announces: the lowest (priority class, slot)
-// it still accepts. Because the queue serves the more important class first, a
-// class suffers only when there is too little for it and those above; so the
-// level closes inside the most important class that suffers, never above it.
+// it still accepts. The queue serves the more important class first, so a class
+// is overloaded only when capacity is too small for it and the classes above.
+// The level therefore closes inside the most important overloaded class, never
+// above it.
 #pragma once
 
 #include "core/base/request_context.hpp"
@@ -14,7 +15,7 @@
 namespace cyclamenhold
 {
 
-// What happened to one class in the present window.
+// Counts of one class in the current window.
 struct class_window
 {
     std::uint32_t started = 0;
@@ -22,10 +23,10 @@
     duration delay{};
 };
 
-// Decaying counts of one class, the base of its next level.
+// Decaying counts of one class, from which its next level is computed.
 struct class_demand
 {
-    // By slot.
+    // Indexed by slot.
     std::array<float, admission_slot_count> offered{};
     double started = 0.0;
 };
@@ -33,14 +34,14 @@
 struct admission_control
 {
     // Positions below this are accepted.
-    std::uint32_t open = admission_position_count;
+    std::uint32_t open_count = admission_position_count;
     std::array<class_window, priority_class_count> windows;
     std::array<class_demand, priority_class_count> demands;
     time_point window_started{};
     std::uint32_t window_offered = 0;
-    // Windows in a row in which no class that is let in suffered.
+    // Consecutive windows in which no admitted class was overloaded.
     std::uint32_t windows_without_overload = 0;
-    // Some class suffered in the last window.
+    // Whether a class was overloaded in the last window.
     bool overloaded = false;
 };
 
@@ -49,12 +50,13 @@
 void admission_record_start(
     admission_control& control, priority_class priority, duration delay);
 
-// A request was refused or dropped for want of capacity.
+// Records a request that was refused or dropped for lack of capacity.
 void admission_record_refusal(
     admission_control& control, priority_class priority);
 
-// Closes the window when it is over and moves the level. Requests may wait for
-// a part of the upstream's mean latency before that counts as suffering.
+// Ends the window once its length has passed, and moves the level. A class
+// counts as overloaded only when its requests wait longer than a fraction of
+// the upstream's mean latency.
 void admission_tick(
     admission_control& control, duration mean_latency, time_point now);
 
--- a/src/core/gate/admission_position.hpp
+++ b/src/core/gate/admission_position.hpp
@@ -1,5 +1,5 @@
-// Every (class, slot) in one order, the most important first, so that a level
-// is a single number: how many positions are open.
+// Orders every (class, slot) pair, the most important first, so that a level is
+// a single number: the number of open positions.
 #pragma once
 
 #include "core/base/request_context.hpp"
@@ -30,7 +30,7 @@
            std::min<std::uint32_t>(level.slots, admission_slot_count);
 }
 
-// The level that accepts so many positions.
+// The level that accepts this number of positions.
 [[nodiscard]] constexpr admission_level level_at(std::uint32_t positions)
 {
     if (positions >= admission_position_count)
@@ -42,9 +42,9 @@
         static_cast<std::uint16_t>(positions % admission_slot_count)};
 }
 
-// The level to apply when a report is `age` old: the reported one while it is
-// fresh, then opened step by step, so that the first requests let through bring
-// a new report before the rest follows.
+// The level to apply when a report is `age` old. A fresh report applies as it
+// is. After that the level opens gradually, so that the first admitted requests
+// return a new report before the rest follows.
 [[nodiscard]] inline admission_level
 aged_level(std::uint32_t reported_positions, duration age)
 {
--- a/src/core/gate/concurrency_limit.cpp
+++ b/src/core/gate/concurrency_limit.cpp
@@ -11,7 +11,7 @@
 constexpr double probe_amplitude = 0.2;
 constexpr duration min_probe_length = 50ms;
 constexpr duration max_probe_length = 2s;
-// A probe lasts this many mean latencies.
+// Length of a probe in mean latencies.
 constexpr int probe_latencies = 2;
 constexpr std::uint32_t min_steady_length = 2;
 constexpr std::uint32_t max_steady_length = 16;
@@ -22,11 +22,11 @@
 constexpr double growth_share = 0.05;
 constexpr double shed_factor = 0.9;
 constexpr double latency_weight = 0.05;
-// Of the slots announced by an upstream that is trusted; the rest is for its
-// health check and for those who call it past this node.
+// Share of exactly announced slots to use. The rest is left for the upstream's
+// health check and for callers that bypass this node.
 constexpr double exact_slots_share = 0.95;
-// How fast a trusted limit grows back after the upstream shed, as a part of
-// the slots a second.
+// How fast the limit of exactly announced slots recovers after the upstream
+// shed load: share of the slots per second.
 constexpr double recovery_share_per_second = 0.2;
 constexpr duration warm_up_time = 10s;
 constexpr double warm_up_floor = 0.1;
@@ -76,8 +76,8 @@
     return samples.concurrency / samples.count;
 }
 
-// The logarithmic slope of latency over concurrency, or a negative number
-// when the samples do not tell.
+// The logarithmic slope of latency over concurrency. Negative when there are
+// too few samples or the concurrency hardly differed.
 double slope_between(const limit_samples& steady, const limit_samples& probe)
 {
     if (steady.count < min_samples || probe.count < min_samples)
@@ -100,7 +100,7 @@
     value += slope_weight * (sample - value);
 }
 
-// Additive growth; up to the announced slots in larger steps.
+// Additive growth, in larger steps below the announced slots.
 void grow(concurrency_limit& limit)
 {
     const double step = limit.value < limit.announced
@@ -110,7 +110,7 @@
     limit.steady_length = min_steady_length;
 }
 
-// In proportion to how clearly less concurrency saves latency.
+// Shrinks in proportion to how much latency a lower concurrency saves.
 void shrink(concurrency_limit& limit)
 {
     const double factor = 1.0 - max_decrease * limit.lowered_slope;
@@ -118,8 +118,8 @@
     limit.steady_length = min_steady_length;
 }
 
-// One clear sample is not enough to move the limit, but the same probe is
-// repeated soon; otherwise the next one waits longer.
+// A clear result repeats the same probe soon, since one sample is not enough to
+// move the limit. Otherwise the next probe waits longer.
 void schedule_probe(concurrency_limit& limit, bool is_clear)
 {
     if (is_clear)
@@ -268,7 +268,7 @@
     limit.reduced_at = now;
     limit.value =
         bounded(limit, std::min(limit.value, double(running)) * shed_factor);
-    // Growth waits for new evidence.
+    // The limit does not grow until probes show that latency stays flat.
     limit.raised_slope = 1.0;
     begin_phase(limit, limit_phase::steady, now);
 }
@@ -295,7 +295,8 @@
         }
         return;
     }
-    // Twice the length, so that most of what started here has ended.
+    // Twice the probe length, so that most requests that started in the phase
+    // have ended.
     if (elapsed >= 2 * length)
     {
         evaluate_probe(limit);
--- a/src/core/gate/fair_queue.cpp
+++ b/src/core/gate/fair_queue.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-// Service counts half after this time.
+// The weight of past service halves in this time.
 constexpr duration service_half_life = 1s;
-// The weights are scaled down before they could lose precision.
+// All weights are scaled down above this value, before they lose precision.
 constexpr double max_service_weight = 1e12;
-// Forgets workspaces whose remaining service weighs less than this.
+// Idle workspaces whose remaining service weighs less than this are dropped.
 constexpr double negligible_service = 1e-9;
 
 class_queue& class_of(fair_queue& queue, priority_class priority)
@@ -98,7 +98,8 @@
     return request;
 }
 
-// What a workspace would have got if all its waiting requests were served.
+// The service that a workspace would have received if all its queued requests
+// were served.
 double demand_of(const fair_queue& queue, const workspace_queue& workspace)
 {
     return workspace.served + static_cast<double>(workspace.requests.size()) *
@@ -162,12 +163,12 @@
 }
 
 std::optional<gate_request>
-queue_evict(fair_queue& queue, const gate_request& newcomer)
+queue_evict(fair_queue& queue, const gate_request& incoming)
 {
     for (auto level = priority_class_count; level-- > 0;)
     {
         class_queue& entry = queue.classes[level];
-        const auto own = static_cast<std::size_t>(newcomer.context.priority);
+        const auto own = static_cast<std::size_t>(incoming.context.priority);
         if (level < own)
         {
             return std::nullopt;
@@ -187,9 +188,9 @@
                 largest_demand = demand;
             }
         }
-        const workspace_id newcomer_id = newcomer.context.workspace;
-        if (level == own && largest != newcomer_id &&
-            demand_of(queue, entry.workspaces[newcomer_id]) >= largest_demand)
+        const workspace_id incoming_id = incoming.context.workspace;
+        if (level == own && largest != incoming_id &&
+            demand_of(queue, entry.workspaces[incoming_id]) >= largest_demand)
         {
             return std::nullopt;
         }
--- a/src/core/gate/fair_queue.hpp
+++ b/src/core/gate/fair_queue.hpp
@@ -1,6 +1,6 @@
-// The bounded queue of a gate: the more important class first, inside a class
-// the workspace that was served least, inside a workspace the oldest request,
-// or under overload the newest.
+// The bounded queue of a gate. Order: the more important class first, within a
+// class the workspace that was served least, within a workspace the oldest
+// request, or the newest under overload.
 #pragma once
 
 #include "core/base/request_context.hpp"
@@ -18,7 +18,8 @@
 namespace cyclamenhold
 {
 
-// Names a request at one gate; chosen by the caller, unique in its lifetime.
+// Identifies a request at one gate. Assigned by the caller, and not reused
+// while the gate exists.
 using gate_entry_id = std::uint64_t;
 
 struct gate_request
@@ -26,23 +27,25 @@
     gate_entry_id entry_id = 0;
     request_context context;
     time_point arrived{};
-    // Was in flight at an upstream's death; runs apart from other suspects.
+    // The request was in flight when an upstream crashed. At most one suspect
+    // runs at a time.
     bool suspect = false;
 };
 
-// Service that a workspace got, in requests weighted by an exponentially
-// growing factor, so that older service counts less without being touched.
+// `served` is the service that a workspace received, in requests weighted by an
+// exponentially growing factor, so that older service counts less without being
+// updated.
 struct workspace_queue
 {
     double served = 0.0;
-    // By order of arrival.
+    // In order of arrival.
     std::map<std::uint64_t, gate_request> requests;
 };
 
 struct class_queue
 {
     std::map<workspace_id, workspace_queue> workspaces;
-    // The workspaces that have requests, least served first.
+    // The workspaces with queued requests, the least served first.
     std::set<std::pair<double, workspace_id>> waiting;
     std::size_t size = 0;
 };
@@ -61,7 +64,8 @@
     std::unordered_map<gate_entry_id, queue_position> positions;
     std::set<std::pair<time_point, gate_entry_id>> deadlines;
     std::uint64_t next_sequence = 0;
-    // What one request of service weighs now, and since when.
+    // The present weight of one request of service, and when it was last
+    // updated.
     double service_weight = 1.0;
     time_point weight_updated_at{};
 };
@@ -76,31 +80,31 @@
 
 void queue_push(fair_queue& queue, gate_request request);
 
-// The next request to start, of this class or a more important one, counted
-// as served.
+// Removes the next request to start, of `lowest_class` or a more important
+// class, and counts it as served.
 [[nodiscard]] std::optional<gate_request> queue_pop(
     fair_queue& queue, queue_order order, time_point now,
     priority_class lowest_class = priority_class::low);
 
-// Counts a request that was started without waiting.
+// Counts a request that was started without passing through the queue.
 void queue_record_served(
     fair_queue& queue, const request_context& context, time_point now);
 
-// Takes out the request that a newcomer displaces: of the least important
-// class, there the oldest of the workspace whose share is largest. Nothing when
-// the newcomer itself is the one that should go.
+// Removes and returns the request that `incoming` replaces in a full queue: in
+// the least important class, the oldest request of the workspace with the
+// largest demand. Returns nothing when `incoming` itself should be refused.
 [[nodiscard]] std::optional<gate_request>
-queue_evict(fair_queue& queue, const gate_request& newcomer);
+queue_evict(fair_queue& queue, const gate_request& incoming);
 
-// Takes out a request by its entry_id.
+// Removes a request by its id.
 std::optional<gate_request>
 queue_remove(fair_queue& queue, gate_entry_id entry_id);
 
-// Takes out all requests whose deadline is not after `now`.
+// Removes all requests whose deadline is at or before `now`.
 [[nodiscard]] std::vector<gate_request>
 queue_take_expired(fair_queue& queue, time_point now);
 
-// Takes out everything, in order of the deadlines.
+// Removes all requests, in order of their deadlines.
 [[nodiscard]] std::vector<gate_request> queue_take_all(fair_queue& queue);
 
 } // namespace cyclamenhold
--- a/src/core/gate/gate.cpp
+++ b/src/core/gate/gate.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-// The queue holds this part of the limit: what waits here also holds slots of
-// the services above.
+// The queue holds the limit divided by this. A queued request also occupies
+// slots of the services that wait for it.
 constexpr std::size_t queue_divisor = 4;
 constexpr std::size_t min_queue_size = 8;
 constexpr std::size_t max_waiting_suspects = 64;
@@ -23,8 +23,9 @@
 std::size_t queue_bound(const gate_state& gate, time_point now)
 {
     const std::size_t limit = current_limit(gate.limit, now);
-    // Where calls are known, most of what waits is calls: work above them has
-    // been paid for, and they are short.
+    // With a reservation for calls, most queued requests are child calls. They
+    // are short, and the requests that wait for them have already used
+    // capacity, so the queue may be longer.
     const bool reserves_for_calls = gate.settings.reserved_for_calls > 0.0;
     return std::max(
         min_queue_size, reserves_for_calls ? limit : limit / queue_divisor);
@@ -35,7 +36,7 @@
     return gate.running.size() < current_limit(gate.limit, now);
 }
 
-// Roots leave some of the limit to calls.
+// Root requests leave a part of the limit to child calls.
 bool has_free_root_slot(const gate_state& gate, time_point now)
 {
     const double limit = current_limit(gate.limit, now);
@@ -71,15 +72,15 @@
     decisions.push_back({request.entry_id, refusal::none});
 }
 
-// A request that cannot end within its deadline would waste its slot.
+// A request that cannot finish before its deadline would waste its slot.
 bool cannot_finish_in_time(
     const gate_state& gate, const gate_request& request, time_point now)
 {
     return request.context.deadline - now <= gate.limit.mean_latency / 2;
 }
 
-// How long before its deadline a queued request is given up: it could not end
-// in time, and its caller's node hears that it has not run while it still
+// How long before its deadline a queued request is refused. It could not finish
+// in time, and its caller's node receives the not-run outcome while it still
 // waits.
 duration early_refusal_margin(const gate_state& gate)
 {
@@ -117,7 +118,7 @@
                                   : queue_order::oldest_first;
     while (queue_size(gate.queue) > 0 && has_free_slot(gate, now))
     {
-        // Calls are of the most important class.
+        // Child calls are of the most important class.
         const priority_class lowest = has_free_root_slot(gate, now)
                                           ? priority_class::low
                                           : priority_class::critical;
--- a/tests/core/gate_test.cpp
+++ b/tests/core/gate_test.cpp
@@ -55,7 +55,7 @@
     EXPECT_TRUE(
         holds(gate_offer(gate, make_request(1), start_time), 1, refusal::none));
     {
-        SCOPED_TRACE("what finds no slot waits");
+        SCOPED_TRACE("requests without a free slot are queued");
         EXPECT_TRUE(gate_offer(gate, make_request(2), start_time).empty());
         EXPECT_TRUE(gate_offer(gate, make_request(3), start_time).empty());
         EXPECT_TRUE(
@@ -68,8 +68,8 @@
                 .empty());
     }
     {
-        SCOPED_TRACE("the important class goes first, then the workspace that "
-                     "was served least, then the oldest");
+        SCOPED_TRACE("the most important class is first, then the workspace "
+                     "that was served least, then the oldest request");
         gate_entry_id ended = 1;
         for (const gate_entry_id next : {5, 4, 2, 3})
         {
@@ -91,7 +91,7 @@
             gate, make_request(++entry_id, priority_class::low), start_time);
     }
     {
-        SCOPED_TRACE("a more important request takes the place of another");
+        SCOPED_TRACE("a more important request replaces another");
         const auto decisions = gate_offer(
             gate, make_request(100, priority_class::high), start_time);
         ASSERT_EQ(decisions.size(), 1U);
@@ -99,15 +99,15 @@
         EXPECT_NE(decisions[0].entry_id, 100U);
     }
     {
-        SCOPED_TRACE("a workspace with little in the queue takes the place of "
-                     "one with much");
+        SCOPED_TRACE("a workspace with few queued requests replaces a request "
+                     "of one with many");
         const auto decisions = gate_offer(
             gate, make_request(101, priority_class::low, 2), start_time);
         ASSERT_EQ(decisions.size(), 1U);
         EXPECT_NE(decisions[0].entry_id, 101U);
     }
     {
-        SCOPED_TRACE("nothing less important displaces");
+        SCOPED_TRACE("a less important request replaces none");
         for (gate_entry_id next = 200; next < 300; ++next)
         {
             (void)gate_offer(
@@ -119,7 +119,7 @@
     }
 }
 
-TEST(gate, work_nobody_waits_for)
+TEST(gate, expired_and_cancelled_requests)
 {
     gate_state gate = make_gate(1);
     (void)gate_offer(gate, make_request(1), start_time);
@@ -134,7 +134,7 @@
             gate_tick(gate, start_time + 50ms), 2, refusal::deadline_exceeded));
     }
     {
-        SCOPED_TRACE("cancelled requests are forgotten");
+        SCOPED_TRACE("cancelled requests are removed");
         EXPECT_TRUE(gate_cancel(gate, 3, start_time + 60ms).empty());
         const auto decisions =
             gate_finish(gate, 1, gate_result::replied, start_time + 70ms);
@@ -142,7 +142,7 @@
         EXPECT_TRUE(holds(decisions, 4, refusal::none));
     }
     {
-        SCOPED_TRACE("a draining upstream gets nothing more");
+        SCOPED_TRACE("a draining upstream gets no more requests");
         (void)gate_offer(gate, make_request(5), start_time + 80ms);
         upstream_record record = serving(1);
         record.state = upstream_state::draining;
@@ -175,25 +175,25 @@
         refusal::none));
 }
 
-// An upstream that runs `slots` requests at once and queues the rest, under a
-// gate with always more waiting. Returns the limit after `length`.
+// Simulates an upstream that runs `slots` requests at once and queues the rest,
+// behind a gate whose queue is never empty. Returns the limit after `length`.
 std::uint32_t
 learn_limit(std::uint32_t announced, std::uint32_t slots, duration length)
 {
     gate_state gate = make_gate(announced);
     random_source random(7);
     std::multimap<time_point, gate_entry_id> ends;
-    std::deque<gate_entry_id> inside;
+    std::deque<gate_entry_id> queued_at_upstream;
     std::size_t busy = 0;
     gate_entry_id next = 0;
     time_point now = start_time;
     time_point tick_at = now;
-    const auto begin_inside = [&](gate_entry_id entry_id)
+    const auto begin_run = [&](gate_entry_id entry_id)
     {
         ++busy;
         ends.emplace(now + 20ms + random_below(random, 20) * 1ms, entry_id);
     };
-    const auto take = [&](const gate_decisions& decisions)
+    const auto apply = [&](const gate_decisions& decisions)
     {
         for (const auto& [entry_id, reason] : decisions)
         {
@@ -203,17 +203,17 @@
             }
             if (busy < slots)
             {
-                begin_inside(entry_id);
+                begin_run(entry_id);
                 continue;
             }
-            inside.push_back(entry_id);
+            queued_at_upstream.push_back(entry_id);
         }
     };
     while (now < start_time + length)
     {
         for (int i = 0; i < 30; ++i)
         {
-            take(gate_offer(
+            apply(gate_offer(
                 gate,
                 make_request(++next, priority_class::normal, 1, now + 10s),
                 now));
@@ -224,26 +224,26 @@
             const gate_entry_id entry_id = ends.begin()->second;
             ends.erase(ends.begin());
             --busy;
-            if (!inside.empty())
+            if (!queued_at_upstream.empty())
             {
-                begin_inside(inside.front());
-                inside.pop_front();
+                begin_run(queued_at_upstream.front());
+                queued_at_upstream.pop_front();
             }
-            take(gate_finish(gate, entry_id, gate_result::replied, now));
+            apply(gate_finish(gate, entry_id, gate_result::replied, now));
         }
         if (now >= tick_at)
         {
-            take(gate_tick(gate, now));
+            apply(gate_tick(gate, now));
             tick_at = now + 10ms;
         }
     }
     return static_cast<std::uint32_t>(gate.limit.value);
 }
 
-TEST(gate, limit_follows_the_upstream)
+TEST(gate, limit_adapts_to_upstream)
 {
     {
-        SCOPED_TRACE("a true announcement is kept");
+        SCOPED_TRACE("a correct announcement is kept");
         const auto limit = learn_limit(100, 100, 30s);
         EXPECT_GE(limit, 90U);
         EXPECT_LE(limit, 125U);
@@ -259,14 +259,14 @@
         EXPECT_GE(learn_limit(20, 100, 30s), 85U);
     }
     {
-        SCOPED_TRACE("the connection cap binds");
+        SCOPED_TRACE("the limit stays within the connection cap");
         gate_state gate;
         (void)gate_set_upstream(gate, serving(100, 30), start_time);
         EXPECT_EQ(gate_report(gate, start_time).limit, 30U);
     }
 }
 
-TEST(gate, shedding_upstream)
+TEST(gate, limit_drops_when_upstream_sheds)
 {
     gate_state gate = make_gate(100);
     gate_entry_id entry_id = 0;
@@ -278,7 +278,7 @@
     EXPECT_EQ(gate_report(gate, start_time + 100ms).limit, 90U);
 }
 
-TEST(gate, calls_find_room_beside_callers_requests)
+TEST(gate, limit_reserved_for_calls)
 {
     gate_state gate;
     gate.settings = {true, 0.25, true};
@@ -291,25 +291,26 @@
     }
     const auto roots = gate.running.size();
     {
-        SCOPED_TRACE("callers leave their part free");
+        SCOPED_TRACE("root requests leave the reserved part free");
         EXPECT_EQ(roots, 15U);
         EXPECT_GT(queue_size(gate.queue), 0U);
     }
     {
-        SCOPED_TRACE("a call of an upstream starts at once");
+        SCOPED_TRACE("a child call starts at once");
         auto call = make_request(++entry_id, priority_class::critical);
         call.context.depth = 1;
         EXPECT_TRUE(
             holds(gate_offer(gate, call, start_time), entry_id, refusal::none));
     }
     {
-        SCOPED_TRACE("its end gives no callers' request the room of calls");
+        SCOPED_TRACE("no root request starts in the slot of the ended call");
         (void)gate_finish(
             gate, entry_id, gate_result::replied, start_time + 5ms);
         EXPECT_EQ(gate.running_roots, roots);
     }
     {
-        SCOPED_TRACE("the end of a caller's request does");
+        SCOPED_TRACE(
+            "a root request starts in the slot of an ended root request");
         const auto decisions =
             gate_finish(gate, 1, gate_result::replied, start_time + 100ms);
         EXPECT_EQ(decisions.size(), 1U);
@@ -317,7 +318,7 @@
     }
 }
 
-TEST(gate, a_trusted_limit_grows_back_after_the_upstream_shed)
+TEST(gate, exact_limit_recovers_after_shedding)
 {
     gate_state gate;
     gate.settings = {true, 0.0, true};
@@ -335,11 +336,11 @@
     EXPECT_EQ(current_limit(gate.limit, start_time + 6s), 95U);
 }
 
-TEST(gate, refuses_before_the_caller_gives_up)
+TEST(gate, refuses_before_deadline)
 {
     gate_state gate = make_gate(1);
     gate.settings.refuses_before_deadline = true;
-    // Runs of 200 ms.
+    // Each request runs for 200 ms.
     for (gate_entry_id entry_id = 1; entry_id < 60; ++entry_id)
     {
         const time_point at = start_time + entry_id * 200ms;
