--- a/src/core/request/call.cpp
+++ b/src/core/request/call.cpp
@@ -15,7 +15,7 @@
 {
 
 constexpr unsigned first_server_error = 500;
-// A request that so many nodes turned away is refused.
+// A request is refused after this many nodes refused it before their upstream.
 constexpr std::uint32_t max_node_refusals = 2;
 
 call_step refuse(
@@ -30,8 +30,8 @@
     return step;
 }
 
-// When a caller that was refused for load should come back: spread, so that
-// those who were refused together do not return together.
+// The retry-after time for a caller that was refused for load. Randomised, so
+// that callers refused together do not retry together.
 duration retry_delay(const request_path& path, random_source& random)
 {
     if (!path.treats_keyless_as_calls)
@@ -49,8 +49,9 @@
     return call.may_have_run ? outcome::unknown : outcome::not_run;
 }
 
-// Hands what the choice saw of the service's levels to the record of the
-// parent, whose reply carries it to the entry node.
+// Records the admission level found during routing in the parent's record,
+// whose reply carries it to the entry node. At the entry node, records it for
+// the route.
 void record_choice_level(
     request_path& path, const call_state& call, const routing_choice& choice,
     time_point now)
@@ -61,7 +62,7 @@
     }
     if (call.parent_record)
     {
-        call.parent_record->downstream.note(choice.level);
+        call.parent_record->downstream.record(choice.level);
     }
     else if (choice.reason == refusal::overloaded)
     {
@@ -105,7 +106,7 @@
     return step;
 }
 
-// Refuses a root request that a service child_wait its route would refuse.
+// Refuses a root request that a service below its route would refuse.
 std::optional<call_step> refuse_early(
     request_path& path, call_state& call, time_point now, random_source& random)
 {
@@ -133,8 +134,8 @@
 }
 
 // Counts a root request against its workspace's retry budget when it is a
-// re-send. Without budget it is refused only while the services child_wait the
-// route are overloaded, so that no refusal is made that capacity did not force.
+// re-send. When the budget is empty, the request is refused only while the
+// services below the route are overloaded; otherwise there is capacity for it.
 std::optional<call_step>
 count_resend(request_path& path, call_state& call, time_point now)
 {
@@ -146,7 +147,7 @@
         record_first_attempt(path.retries, workspace, call.context.service);
         return std::nullopt;
     }
-    // A re-send keeps its slot: drawing again would only add load.
+    // A re-send keeps its slot. A new draw would only add load.
     call.context.slot = failed->slot;
     call.is_resend = true;
     const admission_level level = level_of_route(path.levels, call.route, now);
@@ -179,7 +180,7 @@
     return step;
 }
 
-// What the configuration says of the request's workspace.
+// Applies the settings of the request's workspace.
 void apply_workspace(const request_tables& tables, call_state& call)
 {
     const auto found = tables.workspaces.find(call.context.workspace);
@@ -195,8 +196,8 @@
     }
 }
 
-// Upstreams are judged by what requests saw: a reply that reports a fault of
-// the upstream counts as a failure, one that reports load does not.
+// The status that counts for the upstream's statistics. A reply that reports a
+// fault of the upstream is a failure; one that reports overload is not.
 attempt_status status_for_stats(const attempt_result& result)
 {
     const bool fault = result.http_status == 500 || result.http_status == 502;
@@ -205,7 +206,8 @@
                : result.status;
 }
 
-// Only the node that sent nothing, or the upstream's node, can know.
+// Certain only when this node sent nothing, or when the upstream's node
+// reports it.
 bool has_not_run(const attempt_result& result)
 {
     return !result.sent || (result.status == attempt_status::refused &&
@@ -219,17 +221,19 @@
     const admission_level& level = result.load->downstream;
     if (call.parent_record)
     {
-        call.parent_record->downstream.note(level);
+        call.parent_record->downstream.record(level);
         return;
     }
-    const bool whole = result.status == attempt_status::replied &&
-                       result.http_status < first_server_error;
+    const bool is_complete = result.status == attempt_status::replied &&
+                             result.http_status < first_server_error;
     record_route_level(
         path.levels, call.route, level,
-        whole ? level_scope::whole_route : level_scope::part_of_route, now);
+        is_complete ? level_scope::whole_route : level_scope::part_of_route,
+        now);
 }
 
-// An attempt that ended without its upstream's word keeps what was passed.
+// Reclaims the allowance passed with an attempt. When the request was sent and
+// no reply returned an unused part, the passed allowance is lost.
 void reclaim_allowance(call_state& call, const attempt_result& result)
 {
     const std::uint16_t passed = std::exchange(call.passed_allowance, 0);
@@ -238,8 +242,8 @@
     call.context.retry_allowance += returned;
 }
 
-// The node beside the upstream refused, so that no upstream has seen the
-// request: another may take it without a repeat.
+// Whether the node beside the upstream refused the request. No upstream has
+// received it, so it may be sent to another without being counted as a retry.
 bool is_node_refusal(const attempt_result& result)
 {
     return has_not_run(result) && (result.reason == refusal::overloaded ||
@@ -263,8 +267,8 @@
         path.retries, call.context.workspace, call.context.service);
 }
 
-// How long ago the trust in keys ended; negative while they are trusted. A node
-// that has been cut off may not know of withdrawn keys.
+// Time since the keys became stale; negative while they are fresh. A node that
+// was cut off may not have received the withdrawal of a key.
 duration time_since_keys_expired(const request_path& path, time_point now)
 {
     return now.time_since_epoch() -
@@ -479,7 +483,8 @@
         return;
     }
     cancel_wait(path.limiter, call.context.workspace, call.id);
-    // A lent token stays used: its lender has been told.
+    // A token borrowed on a loan stays used, because its use has already been
+    // reported to the lender.
     if (call.holds_token && !call.may_have_run && !call.has_run &&
         path.treats_keyless_as_calls)
     {
--- a/src/core/request/call.hpp
+++ b/src/core/request/call.hpp
@@ -1,6 +1,6 @@
 // One call at the node where it entered: admission, tokens, claim, routing,
-// attempts and retries. Each function returns the single next step; the
-// adapter, or a test, carries it out and comes back with what happened.
+// attempts and retries. Each function returns the next step. The adapter, or a
+// test, carries it out and reports the result with the next call.
 #pragma once
 
 #include "core/base/random.hpp"
@@ -29,7 +29,7 @@
 namespace cyclamenhold
 {
 
-// What the request path of one node shares between its threads.
+// State of the request path that the threads of one node share.
 struct request_path
 {
     host_id self = host_id::none;
@@ -42,45 +42,45 @@
     snapshot_cell<quarantine_view> quarantine;
     fair_slots slots;
     route_levels levels;
-    // Used where replies do not tell of the services below.
+    // Used where replies carry no load reports of the services below.
     route_throttle throttle;
-    // Upstreams make their calls without a key or a handle: requests without
-    // a key are taken for calls.
+    // Upstreams make their child calls without a key or a call handle, so a
+    // request without a key is treated as a child call.
     bool treats_keyless_as_calls = false;
-    // What an upstream's node turned away goes to another upstream without a
-    // repeat being counted.
+    // A request that an upstream's node refused is sent to another upstream
+    // without being counted as a retry.
     bool retries_node_refusals = false;
     std::atomic<bool> draining{false};
-    // The planned stop is so near that new requests might be cut.
+    // A planned stop is so close that new requests might be interrupted.
     std::atomic<bool> refuses_new{false};
-    // The clock does not count while the host is suspended: proofs from before
-    // the last such moment say nothing. Nanoseconds of the clock.
+    // The clock stops while the host is suspended. A proof of freshness from
+    // before the last resume is therefore not valid. Nanoseconds of the clock.
     std::atomic<std::int64_t> resumed_at{0};
-    // Until when keys may be trusted without a newer proof that the
-    // configuration here is the newest; nanoseconds of the clock, the largest
-    // value where no proof is asked for.
+    // When keys become stale without a newer proof that the local configuration
+    // is the newest. Nanoseconds of the clock; the maximum value where no proof
+    // is required.
     std::atomic<std::int64_t> keys_fresh_until{
         std::numeric_limits<std::int64_t>::max()};
 };
 
-// What the caller's HTTP request says, the key removed from its headers.
+// The caller's HTTP request, with the key removed from its headers.
 struct call_request
 {
     std::string method;
-    // The Host field.
+    // The Host header field.
     std::string host;
     // Path and query.
     std::string target;
     std::optional<std::string> key;
-    // The caller's own name of the request; empty without one.
+    // The caller's own id of the request; empty without one.
     std::string request_id;
     std::optional<std::chrono::milliseconds> timeout;
     std::string idempotency_key;
     std::optional<std::uint64_t> body_size;
-    // Set for a child call: the context of the parent's request.
+    // Set for a child call: the context of the parent request.
     std::optional<request_context> parent;
-    // For a child call: the parent's record, which hands out the retry
-    // allowance. Without it the call has none.
+    // Set for a child call: the parent's record, from which it takes its share
+    // of the retry allowance. Without it the call has no allowance.
     std::shared_ptr<call_record> parent_record;
 };
 
@@ -88,15 +88,15 @@
 {
     // Answer the caller with `reason`, `result`, `retry_after`.
     refuse,
-    // Answer from `reply`, kept from an earlier run of the same request.
+    // Answer from `reply`, stored by an earlier run of the same request.
     answer_stored,
-    // Wait for the token waiter with the call's id, then call_on_token.
+    // Wait for the token waiter with the call's id, then use call_on_token.
     wait_for_token,
-    // Ask for a claim, then call_on_claim.
+    // Send `requested_claim`, then use call_on_claim.
     request_claim,
-    // Send the request to `target` with `context`, then call_on_attempt.
+    // Send the request to `target` with `context`, then use call_on_attempt.
     attempt,
-    // The attempt's reply goes to the caller as it is.
+    // Pass the attempt's reply to the caller unchanged.
     deliver
 };
 
@@ -106,7 +106,7 @@
     refusal reason = refusal::internal_error;
     outcome result = outcome::not_run;
     duration retry_after{};
-    // What decided a refusal, for the log.
+    // The values that decided a refusal, for the log.
     std::string inputs;
     stored_reply reply;
     claim_question requested_claim;
@@ -114,42 +114,45 @@
     request_context context;
 };
 
-// What the adapter keeps for one call.
+// State of one call, owned by the adapter.
 //
-// `context.retry_allowance` is what the call holds now; what travels with an
-// attempt is in the step's context.
+// `context.retry_allowance` is the allowance that the call holds now. The part
+// sent with an attempt is in the step's context.
 struct call_state
 {
-    // Unique at this node; token waiter and claim token are equal to it.
+    // Unique at this node. The ids of the token waiter and of the claim request
+    // are equal to it.
     std::uint64_t id = 0;
     request_context context;
     bool needs_claim = false;
     // A byte of the request may have reached an upstream.
     bool may_have_run = false;
     std::uint32_t attempts = 0;
-    // Attempts that an upstream's node turned away before its upstream.
+    // Attempts that an upstream's node refused before its upstream.
     std::uint32_t node_refusals = 0;
-    // Went out with the attempt under way and may come back with its end.
+    // Sent with the attempt in progress; the unused part may be returned when
+    // it ends.
     std::uint16_t passed_allowance = 0;
     std::shared_ptr<call_record> parent_record;
     std::string route;
     // The workspace's name; empty for a request without a key.
     std::string workspace;
-    // The workspace has no rate.
+    // The workspace has no rate limit.
     bool unlimited = false;
     bool answered = false;
-    // Took a token of its workspace, which goes back when it does not run.
+    // Holds a token of its workspace, which is returned when the request does
+    // not run.
     bool holds_token = false;
     // An upstream replied.
     bool has_run = false;
-    // The caller sends again what was refused or failed before.
+    // The caller re-sent a request that was refused or failed before.
     bool is_resend = false;
-    // Counted by the throttle, which hears of its end.
+    // Counted by the throttle, which needs a record of its end.
     bool is_throttled = false;
-    // Ended for a reason that says nothing of load.
+    // Ended for a reason that is no sign of overload.
     bool ended_without_load_signal = false;
     std::vector<host_id> tried;
-    // The attempt under way.
+    // The target of the attempt in progress.
     routing_candidate target;
     time_point attempt_started{};
 };
@@ -157,18 +160,19 @@
 struct attempt_result
 {
     attempt_status status = attempt_status::failed;
-    // For `refused`: why, and what the upstream's node says became of it.
+    // For `refused`: the reason, and the outcome that the upstream's node
+    // reports.
     refusal reason = refusal::none;
     outcome result = outcome::unknown;
     // The HTTP status of a reply.
     unsigned http_status = 0;
-    // A byte of the request was handed to a link or upstream.
+    // A byte of the request was passed to a link or an upstream.
     bool sent = true;
-    // The request's body can be sent again. A refusal that says `not_run`
-    // without it still ends the call.
+    // The request's body can be sent again. Otherwise even a `not_run` refusal
+    // ends the call.
     bool replayable = true;
     std::optional<load_report> load;
-    // What the attempt and its children did not use.
+    // Allowance that the attempt and its child calls did not use.
     std::uint16_t returned_allowance = 0;
     duration latency{};
 };
@@ -183,13 +187,13 @@
     request_path& path, call_state& call, const claim_answer& answer,
     time_point now, random_source& random);
 
-// An attempt was answered or failed. For a reply this is called when its head
-// has arrived, so that it may still be dropped for a retry.
+// Handles the end of an attempt. For a reply, call it when the head has
+// arrived, so that the reply can still be discarded for a retry.
 [[nodiscard]] call_step call_on_attempt(
     request_path& path, call_state& call, const attempt_result& result,
     time_point now, random_source& random);
 
-// The call is over, whatever its way; releases what it holds.
+// Ends the call, whatever its result, and releases what it holds.
 void end_call(request_path& path, call_state& call, time_point now);
 
 } // namespace cyclamenhold
--- a/src/core/request/call_record.cpp
+++ b/src/core/request/call_record.cpp
@@ -3,7 +3,7 @@
 namespace cyclamenhold
 {
 
-void downstream_level::note(const admission_level& level)
+void downstream_level::record(const admission_level& level)
 {
     const std::uint32_t positions = open_positions(level);
     std::uint32_t lowest = positions_.load(std::memory_order_relaxed);
--- a/src/core/request/call_record.hpp
+++ b/src/core/request/call_record.hpp
@@ -1,5 +1,5 @@
-// What the upstream's node keeps of a running request, for the child calls that
-// the upstream makes while it runs.
+// The record that the upstream's node keeps of a running request, for the child
+// calls that the upstream makes meanwhile.
 #pragma once
 
 #include "core/base/request_context.hpp"
@@ -13,20 +13,20 @@
 namespace cyclamenhold
 {
 
-// The most restrictive admission level that the calls child_wait a request met.
+// The most restrictive admission level that the calls below a request met.
 // Thread-safe.
 class downstream_level
 {
 public:
-    void note(const admission_level& level);
+    void record(const admission_level& level);
     [[nodiscard]] admission_level read() const;
 
 private:
     std::atomic<std::uint32_t> positions_{admission_position_count};
 };
 
-// How long a running request has waited for its child calls, overlapping ones
-// counted once. Thread-safe.
+// The time a running request has waited for its child calls. Overlapping calls
+// are counted once. Thread-safe.
 class child_wait_time
 {
 public:
--- a/src/core/request/refusal_inputs.cpp
+++ b/src/core/request/refusal_inputs.cpp
@@ -14,7 +14,7 @@
 stale_key_inputs(const request_tables& tables, duration since_expiry)
 {
     return absl::StrFormat(
-        "version %d, its trust ended %.3f s ago", tables.revision,
+        "version %d, keys stale for %.3f s", tables.revision,
         to_seconds(since_expiry));
 }
 
@@ -23,7 +23,7 @@
     const token_answer& answer)
 {
     return absl::StrFormat(
-        "version %d, workspace %s, this host's part %.2f/s, %.2f of %.2f "
+        "version %d, workspace %s, this host's share %.2f/s, %.2f of %.2f "
         "tokens",
         tables.revision, workspace, answer.level.rate, answer.level.tokens,
         answer.level.capacity);
@@ -32,7 +32,8 @@
 std::string throttle_inputs(std::string_view route, const throttle_state& state)
 {
     return absl::StrFormat(
-        "route %s, %.2f let in, %.2f of %.1f failed", route, state.open,
+        "route %s, admitted share %.2f, failed share %.2f of %.1f ended", route,
+        state.admitted_share,
         state.ended <= 0.0 ? 0.0 : state.failed / state.ended, state.ended);
 }
 
--- a/src/core/request/refusal_inputs.hpp
+++ b/src/core/request/refusal_inputs.hpp
@@ -1,5 +1,5 @@
-// What decided a refusal, as text for logs: the values that were compared, and
-// their version or age.
+// The values that decided a refusal, as text for logs, with their version or
+// age.
 #pragma once
 
 #include "core/base/time.hpp"
@@ -15,10 +15,10 @@
 namespace cyclamenhold
 {
 
-// "version 7".
+// For example "version 7".
 [[nodiscard]] std::string version_inputs(const request_tables& tables);
 
-// For keys that are not trusted: since when no proof of the version came.
+// For stale keys: the version, and how long ago its last proof expired.
 [[nodiscard]] std::string
 stale_key_inputs(const request_tables& tables, duration since_expiry);
 
--- a/src/core/request/request_tables.cpp
+++ b/src/core/request/request_tables.cpp
@@ -86,8 +86,8 @@
     return nullptr;
 }
 
-// An opaque key is found by its keyed digest, so that the time of the search
-// tells nothing about keys.
+// Opaque keys are looked up by a keyed digest, so that the time of the lookup
+// reveals nothing about them.
 workspace_id authenticate_opaque(
     const request_tables& tables, std::string_view fleet_secret,
     std::string_view key)
@@ -202,7 +202,7 @@
     const key_digest digest =
         digest_of_secret(fleet_secret, key.substr(separator + 1));
     const auto found = tables.keys.find(id);
-    // An unknown id costs the same comparison as a known one.
+    // An unknown id takes the same comparison as a known one.
     static constexpr key_digest unknown{};
     const key_digest& expected =
         found == tables.keys.end() ? unknown : found->second.digest;
--- a/src/core/request/request_tables.hpp
+++ b/src/core/request/request_tables.hpp
@@ -1,5 +1,5 @@
-// The configuration as the request path looks things up in it. Immutable;
-// published by the control thread with each revision.
+// The configuration in the form of lookup tables for the request path.
+// Immutable; published by the control thread with each revision.
 #pragma once
 
 #include "core/base/random.hpp"
@@ -19,7 +19,7 @@
 {
     route settings;
     service_id service = service_id::none;
-    // The services of a split, with their weights added up.
+    // The services of a traffic split, with their cumulative weights.
     std::vector<std::pair<double, service_id>> split;
 };
 
@@ -33,8 +33,8 @@
 struct request_tables
 {
     std::uint64_t revision = 0;
-    // By host, the empty one for routes of any host; each sorted by descending
-    // prefix length.
+    // By host; the empty host is for routes of any host. Each list is sorted by
+    // descending prefix length.
     std::unordered_map<std::string, std::vector<route_entry>> routes;
     std::unordered_map<std::string, key_entry> keys;
     // Opaque keys by the digest of their whole text.
@@ -45,18 +45,19 @@
 
 [[nodiscard]] request_tables build_request_tables(const configuration& current);
 
-// The route of a request, or nullptr. The path must start with the route's
-// prefix, up to the end, a '/' or a '?'.
-// `host` is the request's Host field; routes of that host go before others.
+// Returns the route of a request, or nullptr. The path must start with the
+// route's prefix, followed by its end, a '/' or a '?'. `host` is the request's
+// Host field. Routes of that host take precedence.
 [[nodiscard]] const route_entry* find_route(
     const request_tables& tables, std::string_view host,
     std::string_view method, std::string_view path);
 
-// The service that a request of this route goes to.
+// Returns the service for a request of this route, drawn by weight when the
+// route has a split.
 [[nodiscard]] service_id
 draw_service(const route_entry& route, random_source& random);
 
-// The digest under which a key's secret is kept.
+// The digest under which a key's secret is stored.
 [[nodiscard]] key_digest
 digest_of_secret(std::string_view fleet_secret, std::string_view secret);
 
--- a/src/core/request/route_levels.hpp
+++ b/src/core/request/route_levels.hpp
@@ -1,7 +1,7 @@
-// What the entry node has learned about the services behind each route: the
-// most restrictive level that its requests met anywhere below. A request that a
-// deep service would refuse is refused here, before any work is done.
-// Thread-safe.
+// The entry node's record of the services below each route: the most
+// restrictive level that its requests met there. A request that a service deep
+// in the call tree would refuse is refused at the entry, before any work is
+// done. Thread-safe.
 #pragma once
 
 #include "core/base/random.hpp"
@@ -18,22 +18,24 @@
 
 struct route_level
 {
-    // Open positions, by the newest report.
+    // Open positions in the newest report.
     std::atomic<std::uint32_t> positions{0};
     std::atomic<std::int64_t> reported_at{0};
 };
 
-// Routes whose names share an entry share the level; there are few routes.
+// Routes whose names hash to the same entry share a level. There are few
+// routes.
 struct route_levels
 {
     std::array<route_level, 256> entries;
 };
 
-// Whether a request met all the services below its route, or ended before.
+// Whether a request reached all the services below its route or ended earlier.
 enum class level_scope : std::uint8_t
 {
     whole_route,
-    // The rest of the route may be less open; the level is only lowered.
+    // The rest of the route may be more restricted, so the level is only
+    // lowered.
     part_of_route
 };
 
@@ -41,12 +43,13 @@
     route_levels& levels, std::string_view route, const admission_level& level,
     level_scope scope, time_point now);
 
-// The level to apply to requests of the route; open when the report is stale.
+// The level to apply to requests of the route; fully open when the report is
+// stale.
 [[nodiscard]] admission_level level_of_route(
     const route_levels& levels, std::string_view route, time_point now);
 
-// Whether a root request is let in; a small share goes through a closed level,
-// to learn when it opens.
+// Whether a root request is admitted. A small share passes a closed level, to
+// detect when it opens.
 [[nodiscard]] bool admits(
     const admission_level& level, const request_context& context,
     random_source& random);
--- a/src/core/request/route_throttle.cpp
+++ b/src/core/request/route_throttle.cpp
@@ -10,29 +10,30 @@
 namespace
 {
 
-// How long the counts remember: about the latency of a loaded call tree, for
-// what is let in now shows only then.
+// Decay time of the counts, about the latency of a loaded call tree: the effect
+// of admitting a request shows only after that time.
 constexpr duration count_time_constant = 500ms;
 constexpr duration adapting_interval = 100ms;
-// Too few ended requests to judge by.
+// With fewer ended requests than this, the share of failures is taken as 0.
 constexpr double min_ended = 5.0;
-// The share of failures that each class bears before it backs off.
+// The share of failures that each class tolerates before it backs off.
 constexpr std::array<double, priority_class_count> max_failure_share{
     0.5, 0.3, 0.15, 0.06};
-// In one interval: the part of the excess failures by which the share that is
-// let in shrinks, and the factor and step by which it grows.
+// For each interval: the part of the excess failures by which the admitted
+// share shrinks, and the factor and step by which it grows.
 constexpr double shrink_rate = 0.3;
 constexpr double growth_factor = 1.08;
-// The factor up to `slow_growth_from`, and the part of the share at which
-// failures began from which on growth is cautious: a short outage is not to be
-// outlasted by its throttle, nor a lasting overload to be met with bursts.
+// The growth factor below `slow_growth_from`, and the part of the admitted
+// share at which failures began, from which on growth is slow. Fast growth
+// below it ends the throttling soon after a short outage; slow growth above it
+// avoids bursts during a lasting overload.
 constexpr double recovery_factor = 1.35;
 constexpr double slow_growth_part = 0.7;
 constexpr double growth_step = 0.005;
-// A caller that was refused and came back has waited longest, so that it is
-// let in so many times as often as a new one.
+// A re-sent request is admitted this many times as often as a new one, because
+// its caller has waited longest.
 constexpr double resend_factor = 3.0;
-// Some are always let in, to see when the services below work again.
+// Some requests are always admitted, to detect when the services below recover.
 constexpr double min_admitted_share = 0.03;
 
 throttle_entry& entry_of(route_throttle& throttle, std::string_view route)
@@ -66,17 +67,20 @@
     {
         if (!entry.is_shrinking)
         {
-            entry.slow_growth_from = entry.open * slow_growth_part;
+            entry.slow_growth_from = entry.admitted_share * slow_growth_part;
             entry.is_shrinking = true;
         }
-        entry.open = std::max(
-            min_admitted_share, entry.open * (1.0 - shrink_rate * excess));
+        entry.admitted_share = std::max(
+            min_admitted_share,
+            entry.admitted_share * (1.0 - shrink_rate * excess));
         return;
     }
     entry.is_shrinking = false;
-    const double factor =
-        entry.open < entry.slow_growth_from ? recovery_factor : growth_factor;
-    entry.open = std::min(1.0, entry.open * factor + growth_step);
+    const double factor = entry.admitted_share < entry.slow_growth_from
+                              ? recovery_factor
+                              : growth_factor;
+    entry.admitted_share =
+        std::min(1.0, entry.admitted_share * factor + growth_step);
 }
 
 } // namespace
@@ -85,7 +89,7 @@
 {
     const std::scoped_lock lock(throttle.mutex);
     const throttle_entry& entry = entry_of(throttle, route);
-    return {entry.open, entry.ended, entry.failed};
+    return {entry.admitted_share, entry.ended, entry.failed};
 }
 
 bool throttle_admits(
@@ -95,8 +99,9 @@
     const std::scoped_lock lock(throttle.mutex);
     throttle_entry& entry = entry_of(throttle, route);
     adapt(entry, priority, now);
-    const double open = is_resend ? entry.open * resend_factor : entry.open;
-    return open >= 1.0 || random_fraction(random) < open;
+    const double share =
+        is_resend ? entry.admitted_share * resend_factor : entry.admitted_share;
+    return share >= 1.0 || random_fraction(random) < share;
 }
 
 void throttle_record_end(
--- a/src/core/request/route_throttle.hpp
+++ b/src/core/request/route_throttle.hpp
@@ -1,8 +1,8 @@
-// Adaptive throttling of a route at its entry: when the requests of a route
-// keep failing below, be it at a service that the route needs several calls
-// deep, fewer are let in, until most of those end succeeded; when they do, more
-// are let in again. Less important routes back off at a smaller share of
-// failures, so that they make room first. Thread-safe.
+// Adaptive throttling of a route at its entry. When requests of a route keep
+// failing, also at a service several calls deep, fewer are admitted until most
+// of those succeed; then more are admitted again. Less important routes back
+// off at a smaller share of failures, so that they yield capacity first.
+// Thread-safe.
 #pragma once
 
 #include "core/base/outcome.hpp"
@@ -18,44 +18,43 @@
 
 struct throttle_entry
 {
-    // The share of requests that is let in.
-    double open = 1.0;
-    // Below this share nothing has been seen to fail, so that it is reached
-    // again in large steps.
+    // The share of requests that is admitted.
+    double admitted_share = 1.0;
+    // No failures were seen below this share, so growth up to it is fast.
     double slow_growth_from = 1.0;
     bool is_shrinking = false;
-    // Decaying counts of requests that were let in and ended.
+    // Decaying counts of admitted requests that ended.
     double ended = 0.0;
     double failed = 0.0;
     time_point counted_at{};
     time_point adapted_at{};
 };
 
-// Routes whose names share an entry are throttled together; there are few
-// routes.
+// Routes whose names hash to the same entry are throttled together. There are
+// few routes.
 struct route_throttle
 {
     std::mutex mutex;
     std::array<throttle_entry, 256> entries;
 };
 
-// What the throttle goes by, for logs.
+// The state that decides admission, for logs.
 struct throttle_state
 {
-    double open = 1.0;
+    double admitted_share = 1.0;
     double ended = 0.0;
     double failed = 0.0;
 };
 [[nodiscard]] throttle_state
 state_of_route(route_throttle& throttle, std::string_view route);
 
-// Whether the next request of the route is let in. `is_resend`: it was refused
-// or failed before.
+// Whether the next request of the route is admitted. `is_resend`: it was
+// refused or failed before.
 [[nodiscard]] bool throttle_admits(
     route_throttle& throttle, std::string_view route, priority_class priority,
     bool is_resend, time_point now, random_source& random);
 
-// A request that was let in ended.
+// Records the end of an admitted request.
 void throttle_record_end(
     route_throttle& throttle, std::string_view route, bool succeeded,
     time_point now);
--- a/tests/core/entry_test.cpp
+++ b/tests/core/entry_test.cpp
@@ -10,7 +10,7 @@
 const time_point start_time{1000s};
 constexpr const char* fleet_secret = "fleet secret of tests";
 
-// A node with one keyed and one open route to a service of one upstream.
+// A node with one keyed and one open route to a service of three upstreams.
 struct entry_node
 {
     entry_node()
@@ -66,7 +66,7 @@
     std::uint64_t last_id = 0;
 };
 
-TEST(entry, a_stop_is_near)
+TEST(entry, refuses_new_requests_before_a_stop)
 {
     entry_node node;
     call_state before;
@@ -79,21 +79,21 @@
     EXPECT_EQ(http_status_of(step.reason, step.result), 503U);
 }
 
-TEST(entry, keys_need_a_proof_of_the_newest_configuration)
+TEST(entry, stale_keys_are_refused)
 {
     entry_node node;
     node.path.keys_fresh_until = (start_time + 4s).time_since_epoch().count();
     call_state fresh;
     EXPECT_EQ(node.enter(fresh, true).kind, call_step_kind::attempt);
     {
-        SCOPED_TRACE("without one keys are refused, never called unknown");
+        SCOPED_TRACE("stale keys get 503, not 401");
         call_state stale;
         const call_step step = node.enter(stale, true, start_time + 5s);
         EXPECT_EQ(step.kind, call_step_kind::refuse);
         EXPECT_EQ(http_status_of(step.reason, step.result), 503U);
     }
     {
-        SCOPED_TRACE("calls without a key go on");
+        SCOPED_TRACE("calls without a key are still accepted");
         call_state call;
         EXPECT_EQ(
             node.enter(call, false, start_time + 5s).kind,
@@ -102,38 +102,39 @@
     }
 }
 
-TEST(entry, a_node_turns_a_request_away)
+TEST(entry, node_refusals_are_retried)
 {
     entry_node node;
     call_state call;
     auto step = node.enter(call, true);
-    attempt_result away;
-    away.status = attempt_status::refused;
-    away.reason = refusal::overloaded;
-    away.result = outcome::not_run;
+    attempt_result refused;
+    refused.status = attempt_status::refused;
+    refused.reason = refusal::overloaded;
+    refused.result = outcome::not_run;
     {
-        SCOPED_TRACE("others are asked, without a repeat being counted");
+        SCOPED_TRACE("other nodes are tried without using the allowance");
         for (int i = 0; i < 2; ++i)
         {
             ASSERT_EQ(step.kind, call_step_kind::attempt);
-            step =
-                call_on_attempt(node.path, call, away, start_time, node.random);
+            step = call_on_attempt(
+                node.path, call, refused, start_time, node.random);
         }
         EXPECT_EQ(call.context.retry_allowance, 1U);
     }
     {
-        SCOPED_TRACE("then the allowance is used, and the refusal is true");
+        SCOPED_TRACE(
+            "then the allowance is used, and the refusal says not-run");
         while (step.kind == call_step_kind::attempt)
         {
-            step =
-                call_on_attempt(node.path, call, away, start_time, node.random);
+            step = call_on_attempt(
+                node.path, call, refused, start_time, node.random);
         }
         EXPECT_EQ(http_status_of(step.reason, step.result), 503U);
         EXPECT_LE(call.attempts, 4U);
     }
 }
 
-TEST(entry, a_promise_is_made_only_for_what_has_not_run)
+TEST(entry, promises_only_for_requests_that_did_not_run)
 {
     for (const auto& [reason, name] : enum_names<refusal>::table)
     {
--- a/tests/core/route_throttle_test.cpp
+++ b/tests/core/route_throttle_test.cpp
@@ -13,53 +13,54 @@
     double success_share = 0.0;
 };
 
-// Sends 200 requests a second of one class for ten seconds to a tree of calls
-// that serves `capacity` of them a second: what is let in beyond it fails.
+// Sends 200 requests per second of one class for ten seconds to a call tree
+// that serves `capacity` of them per second. Requests admitted beyond that
+// fail.
 throttled_run run_against(double capacity, priority_class priority)
 {
     constexpr int per_second = 200;
     constexpr int seconds = 10;
-    constexpr int judged_from = per_second * 4;
+    constexpr int counted_from = per_second * 4;
     route_throttle throttle;
     random_source random(7);
     time_point now{100s};
-    double room = 0.0;
+    double capacity_left = 0.0;
     int admitted = 0;
     int succeeded = 0;
-    int judged = 0;
+    int counted = 0;
     for (int i = 0; i < per_second * seconds; ++i)
     {
         now += duration(1s) / per_second;
-        room = std::min(5.0, room + capacity / per_second);
-        const bool let_in =
+        capacity_left = std::min(5.0, capacity_left + capacity / per_second);
+        const bool is_admitted =
             throttle_admits(throttle, "route", priority, false, now, random);
-        const bool well = let_in && room >= 1.0;
-        room -= let_in ? std::min(room, 1.0) : 0.0;
-        if (let_in)
+        const bool succeeds = is_admitted && capacity_left >= 1.0;
+        capacity_left -= is_admitted ? std::min(capacity_left, 1.0) : 0.0;
+        if (is_admitted)
         {
-            throttle_record_end(throttle, "route", well, now);
+            throttle_record_end(throttle, "route", succeeds, now);
         }
-        if (i >= judged_from)
+        if (i >= counted_from)
         {
-            ++judged;
-            admitted += let_in ? 1 : 0;
-            succeeded += well ? 1 : 0;
+            ++counted;
+            admitted += is_admitted ? 1 : 0;
+            succeeded += succeeds ? 1 : 0;
         }
     }
     return {
-        static_cast<double>(admitted) / judged,
+        static_cast<double>(admitted) / counted,
         static_cast<double>(succeeded) / std::max(1, admitted)};
 }
 
-TEST(route_throttle, a_deep_service_is_overloaded)
+TEST(route_throttle, overload_of_a_deep_service)
 {
     {
-        SCOPED_TRACE("with capacity for all, all are let in");
+        SCOPED_TRACE("with capacity for all, all are admitted");
         EXPECT_GE(
             run_against(400.0, priority_class::low).admitted_share, 0.999);
     }
     {
-        SCOPED_TRACE("at half the demand most of those let in succeed");
+        SCOPED_TRACE("with half the capacity, most admitted requests succeed");
         const auto low = run_against(100.0, priority_class::low);
         EXPECT_GE(low.success_share, 0.8);
         EXPECT_LE(low.admitted_share, 0.65);
@@ -72,7 +73,7 @@
     }
 }
 
-TEST(route_throttle, a_service_that_comes_back_is_found_again)
+TEST(route_throttle, recovery_is_detected)
 {
     route_throttle throttle;
     random_source random(7);
@@ -80,53 +81,53 @@
     const auto send = [&](bool works)
     {
         now += 10ms;
-        const bool let_in = throttle_admits(
+        const bool is_admitted = throttle_admits(
             throttle, "route", priority_class::low, false, now, random);
-        if (let_in)
+        if (is_admitted)
         {
             throttle_record_end(throttle, "route", works, now);
         }
-        return let_in;
+        return is_admitted;
     };
     for (int i = 0; i < 500; ++i)
     {
         (void)send(false);
     }
     {
-        SCOPED_TRACE("while nothing works, some are still let in to see");
-        int let_in = 0;
+        SCOPED_TRACE("while all fail, a few are still admitted");
+        int admitted = 0;
         for (int i = 0; i < 200; ++i)
         {
-            let_in += send(false) ? 1 : 0;
+            admitted += send(false) ? 1 : 0;
         }
-        EXPECT_GT(let_in, 2);
-        EXPECT_LT(let_in, 60);
+        EXPECT_GT(admitted, 2);
+        EXPECT_LT(admitted, 60);
     }
     {
-        SCOPED_TRACE("some seconds after it works again, nearly all are");
+        SCOPED_TRACE("10 s after the recovery nearly all are admitted");
         for (int i = 0; i < 1'000; ++i)
         {
             (void)send(true);
         }
-        int let_in = 0;
+        int admitted = 0;
         for (int i = 0; i < 200; ++i)
         {
-            let_in += send(true) ? 1 : 0;
+            admitted += send(true) ? 1 : 0;
         }
-        EXPECT_GT(let_in, 190);
+        EXPECT_GT(admitted, 190);
     }
 }
 
-TEST(route_throttle, a_short_outage_is_not_outlasted)
+TEST(route_throttle, throttling_ends_soon_after_a_short_outage)
 {
-    // All requests below fail for a while, as when many nodes restart at
-    // once, and then none does.
+    // All requests fail for a time, as when many nodes restart at once, and
+    // then none does.
     route_throttle throttle;
     random_source random(7);
     time_point now{100s};
     const auto run = [&](bool works, duration time)
     {
-        int let_in = 0;
+        int admitted = 0;
         int offered = 0;
         for (const time_point end = now + time; now < end; now += 20ms)
         {
@@ -135,41 +136,41 @@
                     throttle, "route", priority_class::normal, false, now,
                     random))
             {
-                ++let_in;
+                ++admitted;
                 throttle_record_end(throttle, "route", works, now);
             }
         }
-        return static_cast<double>(let_in) / offered;
+        return static_cast<double>(admitted) / offered;
     };
     EXPECT_GE(run(true, 3s), 0.99);
     (void)run(false, 1500ms);
     {
-        SCOPED_TRACE("two seconds later requests are let in as before");
+        SCOPED_TRACE("2 s after the outage requests are admitted as before");
         (void)run(true, 2s);
         EXPECT_GE(run(true, 1s), 0.95);
     }
 }
 
-TEST(route_throttle, those_who_come_back_go_first)
+TEST(route_throttle, resends_are_preferred)
 {
     route_throttle throttle;
     random_source random(7);
     time_point now{100s};
-    int newcomers = 0;
-    int returning = 0;
+    int first_sent = 0;
+    int resent = 0;
     for (int i = 0; i < 2'000; ++i)
     {
         now += 5ms;
-        // Four of five that are let in fail.
+        // Four of five admitted requests fail.
         const bool is_resend = i % 2 == 0;
         if (throttle_admits(
                 throttle, "route", priority_class::low, is_resend, now, random))
         {
             throttle_record_end(throttle, "route", i % 5 == 0, now);
-            (is_resend ? returning : newcomers) += 1;
+            (is_resend ? resent : first_sent) += 1;
         }
     }
-    EXPECT_GT(returning, newcomers * 3 / 2);
+    EXPECT_GT(resent, first_sent * 3 / 2);
 }
 
 } // namespace
