--- a/src/core/routing/routing.cpp
+++ b/src/core/routing/routing.cpp
@@ -12,35 +12,36 @@
 namespace
 {
 
-// At most this share of a service's upstreams is ejected at once, and never
-// the only one.
+// At most this share of a service's upstreams is ejected at once, and never the
+// only one.
 constexpr double max_ejected_share = 0.5;
-// Of the requests that a level would refuse, one in so many goes through, to
-// learn when the upstream accepts more.
+// One in this many requests that a level would refuse is sent anyway, to detect
+// when the upstream accepts more.
 constexpr std::uint64_t probe_interval = 50;
-// Requests leave the data centre for an upstream where they are expected to
-// take at most this part of the time that they would take here.
+// Requests leave the data centre for an upstream where the expected time is at
+// most this part of the expected time here.
 constexpr double spill_advantage = 0.7;
-// How much longer requests are expected to take at an upstream where all fail.
+// Extra expected time at an upstream where all requests fail, as a multiple of
+// the latency.
 constexpr double failure_penalty = 10.0;
-// Above this part of its limit an upstream is taken to be nearly full: beyond
-// the limit requests queue.
+// Load, as a part of the limit, above which the expected time includes
+// queueing.
 constexpr double queueing_threshold = 0.9;
 constexpr double queueing_slope = 8.0;
-// The limit assumed of an upstream that announced nothing usable.
+// The limit assumed for an upstream that announced no slots.
 constexpr double default_limit = 10.0;
-// Share of the announced slots to count on while an upstream warms up and has
-// not reported its limit.
+// Share of the announced slots to assume while an upstream warms up and has not
+// reported its limit.
 constexpr double warming_share = 0.1;
 
 using candidate_list =
     boost::container::small_vector<const routing_candidate*, 16>;
 
-// What all candidates of one choice are judged by.
+// Inputs that are common to all candidates of one selection.
 struct selection_context
 {
     time_point now{};
-    // Stands for the latency of upstreams whose own is not known.
+    // Used for upstreams whose own latency is unknown.
     duration typical{};
 };
 
@@ -90,7 +91,7 @@
     return std::max(1.0, limit);
 }
 
-// Load for each request that the upstream may run, the next one included.
+// Load per request that the upstream may run, the next one included.
 double relative_load(const routing_candidate& candidate, time_point now)
 {
     const upstream_stats& stats = *candidate.stats;
@@ -98,7 +99,7 @@
            (limit_of(candidate) * probation_share(stats, now));
 }
 
-// Drops the ejected ones, but not more of them than the set share; those whose
+// Removes ejected upstreams, at most max_ejected_share of all. Those whose
 // ejection ends first stay.
 void drop_ejected(candidate_list& usable, time_point now)
 {
@@ -132,8 +133,8 @@
         std::remove_if(usable.begin(), usable.end(), is_dropped), usable.end());
 }
 
-// The mean of the latencies that are known, which stands for those that are
-// not; any time when none is.
+// The mean of the known latencies, used for the unknown ones. An arbitrary
+// value when none is known.
 duration typical_latency(const candidate_list& candidates)
 {
     duration sum{};
@@ -147,14 +148,15 @@
     return known == 0 ? duration(1ms) : sum / known;
 }
 
-// How long one more request is expected to take, in seconds. Upstreams differ
-// in speed, slow down when they are nearly full, and queue beyond that.
+// The expected time of one more request, in seconds. Upstreams differ in
+// latency, slow down as the load approaches the limit, and queue requests
+// beyond it.
 double expected_time(
     const routing_candidate& candidate, const selection_context& selection)
 {
-    const duration believed = estimated_latency(*candidate.stats);
+    const duration estimated = estimated_latency(*candidate.stats);
     const duration latency =
-        believed > duration::zero() ? believed : selection.typical;
+        estimated > duration::zero() ? estimated : selection.typical;
     const double load = relative_load(candidate, selection.now);
     const double queueing =
         queueing_slope * std::max(0.0, load - queueing_threshold);
@@ -181,8 +183,8 @@
                : candidates[first];
 }
 
-// Local upstreams first; another data centre when there are none, or when a
-// request is expected to take clearly less time there.
+// Prefers local upstreams. Selects one in another data centre when there are
+// none here, or when the expected time there is clearly shorter.
 const routing_candidate* select_candidate(
     const candidate_list& candidates, data_centre_id local_data_centre,
     time_point now, random_source& random)
@@ -200,19 +202,19 @@
     {
         return better_of_two(remote, selection, random);
     }
-    const auto* const here = better_of_two(local, selection, random);
+    const auto* const best_local = better_of_two(local, selection, random);
     if (remote.empty())
     {
-        return here;
+        return best_local;
     }
-    const auto* const there = better_of_two(remote, selection, random);
-    const bool is_better_there =
-        expected_time(*there, selection) <
-        expected_time(*here, selection) * spill_advantage;
-    return is_better_there ? there : here;
+    const auto* const best_remote = better_of_two(remote, selection, random);
+    const bool is_remote_faster =
+        expected_time(*best_remote, selection) <
+        expected_time(*best_local, selection) * spill_advantage;
+    return is_remote_faster ? best_remote : best_local;
 }
 
-// Drops those whose hosts do not answer, while others do.
+// Removes upstreams whose hosts do not answer, unless no host does.
 void drop_unreachable(candidate_list& usable, time_point now)
 {
     const auto is_dropped = [now](const routing_candidate* candidate)
--- a/src/core/routing/routing.hpp
+++ b/src/core/routing/routing.hpp
@@ -1,4 +1,4 @@
-// Which upstream a request goes to.
+// Selects the upstream for a request.
 #pragma once
 
 #include "core/base/random.hpp"
@@ -28,30 +28,31 @@
     std::unordered_map<service_id, std::vector<routing_candidate>> services;
 };
 
-// Builds the view of `locations`, keeping the statistics of upstreams that
-// `previous` knew in the same incarnation.
+// Builds the view of `locations`. Keeps the statistics of upstreams that
+// `previous` holds in the same incarnation.
 [[nodiscard]] routing_view build_routing_view(
     std::span<const upstream_location> locations,
     data_centre_id local_data_centre, const routing_view& previous);
 
-// Notes that the host does not answer, for all upstreams there. False when that
-// was known of all of them.
+// Records for all upstreams of the host that it does not answer. Returns false
+// when that was recorded for all of them already.
 bool record_host_unreachable(
     const routing_view& view, host_id host, time_point now);
 
 struct routing_choice
 {
-    // `none` when an upstream was chosen.
+    // `none` when an upstream was selected.
     refusal reason = refusal::none;
     routing_candidate candidate;
     // The most permissive level of the service's usable upstreams.
     admission_level level;
-    // Upstreams of the service, and those of them that could be chosen.
+    // The number of upstreams of the service, and of those that could be
+    // selected.
     std::size_t known = 0;
     std::size_t usable = 0;
 };
 
-// Chooses an upstream for a request, avoiding the hosts in `tried` while there
+// Selects an upstream for a request, avoiding the hosts in `tried` while there
 // are others. Refuses with no_upstream or overloaded.
 [[nodiscard]] routing_choice choose_upstream(
     const routing_view& view, const request_context& context,
--- a/src/core/routing/upstream.hpp
+++ b/src/core/routing/upstream.hpp
@@ -34,22 +34,23 @@
              {upstream_state::draining, "draining"}}};
 };
 
-// Travels as member state of the host that the upstream runs on: a host has
-// one upstream.
+// Gossiped as part of the member state of the upstream's host. A host has one
+// upstream.
 struct upstream_record
 {
     std::string service;
     upstream_state state = upstream_state::absent;
-    // Requests the upstream says it can run at once; a hint.
+    // The number of requests that the upstream announces it can run at once; a
+    // hint.
     std::uint32_t slots = 0;
-    // Connections it accepts; a hard limit.
+    // The number of connections that it accepts; a hard limit.
     std::uint32_t connections = 0;
-    // Grows with each change by the host's node, within its incarnation.
+    // Incremented by the host's node with each change, within its incarnation.
     std::uint64_t version = 0;
     bool operator==(const upstream_record&) const = default;
 };
 
-// One candidate for a request: a usable upstream and where it is.
+// A usable upstream and its location: one candidate for a request.
 struct upstream_location
 {
     host_id host = host_id::none;
@@ -58,14 +59,15 @@
     upstream_record record;
 };
 
-// The load an upstream's node reports on each reply and refusal.
+// The load that an upstream's node reports with each reply and refusal.
 struct load_report
 {
     std::uint32_t in_flight = 0;
     std::uint32_t queued = 0;
-    // The gate's present concurrency limit.
+    // The gate's current concurrency limit.
     std::uint32_t limit = 0;
-    // Mean latency of what runs there, its calls included; zero when unknown.
+    // Mean latency of the requests there, including their child calls; zero
+    // when unknown.
     duration latency{};
     admission_level level;
     // The most restrictive level that the calls below the request met.
--- a/src/core/routing/upstream_stats.cpp
+++ b/src/core/routing/upstream_stats.cpp
@@ -18,7 +18,8 @@
 constexpr std::uint32_t ejecting_failures_in_a_row = 5;
 constexpr duration first_ejection = 2s;
 constexpr std::uint32_t max_ejection_doublings = 4;
-// About the time in which members hear of a host that returned in a new life.
+// About the time that members take to receive the new incarnation of a host
+// that restarted.
 constexpr duration first_unreachable = 500ms;
 constexpr std::uint32_t max_unreachable_doublings = 2;
 constexpr duration probation_time = 5s;
@@ -59,7 +60,7 @@
     stats.failure_share.store(
         share - share / failure_weight_divisor, std::memory_order_relaxed);
     stats.attempts_since_ejection.fetch_add(1, std::memory_order_relaxed);
-    // A spell without ejection forgives the earlier ones.
+    // The ejections are reset once the probation after the last one has passed.
     if (probation_share(stats, now) >= 1.0)
     {
         stats.ejections.store(0, std::memory_order_relaxed);
@@ -82,10 +83,12 @@
     const std::uint32_t share =
         before + (millionths - before) / failure_weight_divisor;
     stats.failure_share.store(share, std::memory_order_relaxed);
-    const bool often = attempts_since_ejection >= min_attempts_to_eject &&
-                       share >= ejecting_failure_share;
-    const bool again = on_probation && in_a_row >= 2;
-    if (often || again || in_a_row >= ejecting_failures_in_a_row)
+    const bool has_high_share =
+        attempts_since_ejection >= min_attempts_to_eject &&
+        share >= ejecting_failure_share;
+    const bool failed_on_probation = on_probation && in_a_row >= 2;
+    if (has_high_share || failed_on_probation ||
+        in_a_row >= ejecting_failures_in_a_row)
     {
         eject(stats, now);
     }
--- a/tests/core/routing_test.cpp
+++ b/tests/core/routing_test.cpp
@@ -33,8 +33,8 @@
     return view.services.begin()->second;
 }
 
-// How many of 1000 choices fall on each candidate.
-std::vector<int> spread(const routing_view& view, time_point now)
+// Returns how many of 1000 requests are sent to each candidate.
+std::vector<int> count_choices(const routing_view& view, time_point now)
 {
     request_context context;
     context.service = service_id_of("lookup");
@@ -57,22 +57,23 @@
 TEST(routing, locality)
 {
     auto view = view_of({location(1, here), location(2, elsewhere)});
-    EXPECT_EQ(spread(view, start_time), (std::vector<int>{1000, 0}));
+    EXPECT_EQ(count_choices(view, start_time), (std::vector<int>{1000, 0}));
     {
-        SCOPED_TRACE("a full upstream here sends requests elsewhere");
+        SCOPED_TRACE("a full local upstream sends requests elsewhere");
         candidates(view)[0].stats->outstanding = 150;
-        EXPECT_EQ(spread(view, start_time), (std::vector<int>{0, 1000}));
+        EXPECT_EQ(count_choices(view, start_time), (std::vector<int>{0, 1000}));
     }
     {
-        SCOPED_TRACE("unless it is no better there");
+        SCOPED_TRACE("unless the expected time is no better there");
         candidates(view)[1].stats->outstanding = 140;
-        EXPECT_EQ(spread(view, start_time), (std::vector<int>{1000, 0}));
+        EXPECT_EQ(count_choices(view, start_time), (std::vector<int>{1000, 0}));
     }
 }
 
 TEST(routing, upstreams_of_different_speed)
 {
-    // Upstreams that were bought over years: the one here is the slowest.
+    // Hardware of different age: the upstream in this data centre is the
+    // slowest.
     auto view = view_of(
         {location(1, here), location(2, elsewhere), location(3, elsewhere)});
     const auto report =
@@ -85,27 +86,28 @@
         record_load_report(*candidates(view)[index].stats, sample, start_time);
     };
     {
-        SCOPED_TRACE("a little slower is no reason to leave the data centre");
+        SCOPED_TRACE(
+            "requests stay local when the upstream is a little slower");
         report(0, 120ms, 10);
         report(1, 100ms, 10);
         report(2, 100ms, 10);
-        EXPECT_EQ(spread(view, start_time)[0], 1000);
+        EXPECT_EQ(count_choices(view, start_time)[0], 1000);
     }
     {
-        SCOPED_TRACE("requests go where they take much less time");
+        SCOPED_TRACE("requests go to upstreams that are much faster");
         report(0, 170ms, 10);
         report(1, 70ms, 10);
         report(2, 70ms, 10);
-        EXPECT_EQ(spread(view, start_time)[0], 0);
+        EXPECT_EQ(count_choices(view, start_time)[0], 0);
     }
     {
-        SCOPED_TRACE("until the fast ones are full");
+        SCOPED_TRACE("until the fast upstreams are full");
         report(1, 70ms, 98);
         report(2, 70ms, 98);
-        EXPECT_EQ(spread(view, start_time)[0], 1000);
+        EXPECT_EQ(count_choices(view, start_time)[0], 1000);
     }
     {
-        SCOPED_TRACE("one that fails fast draws no requests");
+        SCOPED_TRACE("an upstream that fails fast attracts no requests");
         report(0, 100ms, 10);
         report(1, 10ms, 10);
         report(2, 10ms, 10);
@@ -113,7 +115,7 @@
         {
             candidates(view)[index].stats->failure_share = 1'000'000;
         }
-        EXPECT_EQ(spread(view, start_time)[0], 1000);
+        EXPECT_EQ(count_choices(view, start_time)[0], 1000);
     }
 }
 
@@ -132,79 +134,81 @@
         }
     };
     fail(0);
-    EXPECT_EQ(spread(view, start_time)[0], 0);
+    EXPECT_EQ(count_choices(view, start_time)[0], 0);
     {
-        SCOPED_TRACE("no more than half of a service is ejected");
+        SCOPED_TRACE("at most half of a service is ejected");
         fail(1);
         fail(2);
-        const auto counts = spread(view, start_time);
+        const auto counts = count_choices(view, start_time);
         EXPECT_EQ(std::ranges::count(counts, 0), 1);
     }
     {
-        SCOPED_TRACE("all of them come back");
-        EXPECT_EQ(std::ranges::count(spread(view, start_time + 8s), 0), 0);
+        SCOPED_TRACE("all of them are used again later");
+        EXPECT_EQ(
+            std::ranges::count(count_choices(view, start_time + 8s), 0), 0);
     }
 }
 
-TEST(routing, hosts_behind_a_cut)
+TEST(routing, unreachable_hosts)
 {
-    // A cut drops packets without a word: requests to a host behind it would
-    // wait for a connection, one after the other.
+    // A network partition drops packets without an error. Without a record of
+    // the unreachable host, one request after the other would wait for a
+    // connection to it.
     auto view = view_of(
         {location(1, here), location(2, elsewhere), location(3, elsewhere)});
-    const auto cut = make_host_id(0x0a000001, 1);
-    EXPECT_TRUE(record_host_unreachable(view, cut, start_time));
-    EXPECT_FALSE(record_host_unreachable(view, cut, start_time));
-    EXPECT_EQ(spread(view, start_time)[0], 0);
+    const auto unreachable = make_host_id(0x0a000001, 1);
+    EXPECT_TRUE(record_host_unreachable(view, unreachable, start_time));
+    EXPECT_FALSE(record_host_unreachable(view, unreachable, start_time));
+    EXPECT_EQ(count_choices(view, start_time)[0], 0);
     {
-        SCOPED_TRACE("it is asked again after a while");
-        EXPECT_EQ(spread(view, start_time + 600ms)[0], 1000);
+        SCOPED_TRACE("it is tried again after 500 ms");
+        EXPECT_EQ(count_choices(view, start_time + 600ms)[0], 1000);
     }
     {
-        SCOPED_TRACE("and left alone for longer when it still does not answer");
+        SCOPED_TRACE("the time doubles when it still does not answer");
         const auto again = start_time + 600ms;
-        EXPECT_TRUE(record_host_unreachable(view, cut, again));
-        EXPECT_EQ(spread(view, again + 900ms)[0], 0);
-        EXPECT_EQ(spread(view, again + 1100ms)[0], 1000);
+        EXPECT_TRUE(record_host_unreachable(view, unreachable, again));
+        EXPECT_EQ(count_choices(view, again + 900ms)[0], 0);
+        EXPECT_EQ(count_choices(view, again + 1100ms)[0], 1000);
     }
     {
-        SCOPED_TRACE("any answer ends that");
+        SCOPED_TRACE("a load report ends it");
         const auto later = start_time + 5s;
-        EXPECT_TRUE(record_host_unreachable(view, cut, later));
+        EXPECT_TRUE(record_host_unreachable(view, unreachable, later));
         load_report report;
         report.limit = 100;
         record_load_report(*candidates(view)[0].stats, report, later);
-        EXPECT_EQ(spread(view, later)[0], 1000);
+        EXPECT_EQ(count_choices(view, later)[0], 1000);
     }
     {
-        SCOPED_TRACE("when none answers, all are tried");
+        SCOPED_TRACE("when no host answers, all are tried");
         for (std::uint16_t number = 1; number <= 3; ++number)
         {
             EXPECT_TRUE(record_host_unreachable(
                 view, make_host_id(0x0a000001, number), start_time + 9s));
         }
-        EXPECT_EQ(spread(view, start_time + 9s)[0], 1000);
+        EXPECT_EQ(count_choices(view, start_time + 9s)[0], 1000);
     }
 }
 
-TEST(routing, levels)
+TEST(routing, admission_levels)
 {
     auto view = view_of({location(1, here)});
     load_report report;
     report.limit = 100;
     report.level = {priority_class::critical, 10};
     record_load_report(*candidates(view)[0].stats, report, start_time);
-    EXPECT_LE(spread(view, start_time)[0], 50);
-    EXPECT_GE(spread(view, start_time)[0], 5);
-    EXPECT_EQ(spread(view, start_time + 3s)[0], 1000);
+    EXPECT_LE(count_choices(view, start_time)[0], 50);
+    EXPECT_GE(count_choices(view, start_time)[0], 5);
+    EXPECT_EQ(count_choices(view, start_time + 3s)[0], 1000);
 }
 
-TEST(routing, drains)
+TEST(routing, draining_upstream)
 {
     auto draining = location(1, here);
     draining.record.state = upstream_state::draining;
     const auto view = view_of({draining, location(2, elsewhere)});
-    EXPECT_EQ(spread(view, start_time), (std::vector<int>{0, 1000}));
+    EXPECT_EQ(count_choices(view, start_time), (std::vector<int>{0, 1000}));
 }
 
 } // namespace
