--- a/src/core/retries/allowance.hpp
+++ b/src/core/retries/allowance.hpp
@@ -1,7 +1,7 @@
-// The retry allowance of one running request: a conserved quantity that its
-// child calls take shares of and give back what they did not use. All attempts
-// below a root request are therefore at most the calls made plus the allowance
-// of the root, at any depth.
+// The retry allowance of one running request. Child calls take shares of it and
+// return what they did not use, so the total is conserved. At any depth, all
+// attempts below a root request are therefore at most the calls made plus the
+// allowance of the root.
 #pragma once
 
 #include <atomic>
@@ -17,16 +17,16 @@
 public:
     explicit allowance_pool(std::uint16_t amount) : available_(amount) {}
 
-    // Takes half of what is left, rounded up, for a child call. Nothing once
-    // the pool is closed.
+    // Takes half of the remaining allowance, rounded up, for a child call.
+    // Returns 0 once the pool is closed.
     [[nodiscard]] std::uint16_t take_share();
 
-    // Gives back what a child call did not use. After the pool was closed it
-    // is lost, which keeps the bound.
+    // Returns what a child call did not use. After the pool is closed the
+    // amount is lost, which keeps the bound.
     void return_share(std::uint16_t amount);
 
-    // Takes everything, for the reply to the caller's node; the pool is closed
-    // from then on.
+    // Takes all that remains, for the reply to the caller's node, and closes
+    // the pool.
     [[nodiscard]] std::uint16_t close();
 
 private:
@@ -37,14 +37,14 @@
 // How a call splits its allowance before an attempt.
 struct allowance_split
 {
-    // Stays with the call, for attempts of its own.
+    // Stays with the call, for its own attempts.
     std::uint16_t kept = 0;
-    // Travels with the attempt, for the calls below it.
+    // Sent with the attempt, for the calls below it.
     std::uint16_t passed = 0;
 };
 
-// An attempt whose upstream dies takes what was passed with it, so half stays;
-// of an odd amount the larger half.
+// When the upstream crashes, the passed part is lost. Half stays with the call,
+// the larger half of an odd amount.
 [[nodiscard]] constexpr allowance_split split_allowance(std::uint16_t amount)
 {
     const auto passed = static_cast<std::uint16_t>(amount / 2);
--- a/src/core/retries/retry_budget.cpp
+++ b/src/core/retries/retry_budget.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-// Retries allowed for each first attempt.
+// Retries earned by each first attempt.
 constexpr double retry_share = 0.1;
-// What a workspace may save up, and has at first, so that small ones can
+// Bound and initial value of a workspace's budget, so that small workspaces can
 // retry at all.
 constexpr double max_tokens = 10.0;
 constexpr std::size_t failed_table_size = 4096;
--- a/tests/core/retries_test.cpp
+++ b/tests/core/retries_test.cpp
@@ -15,7 +15,8 @@
     return make_host_id(0x0a000001, static_cast<std::uint16_t>(number + 1));
 }
 
-// One node with routes to `depth_limit` services of three upstreams each.
+// Configures a node with routes to `depth_limit` services, each with three
+// upstreams.
 void set_up(request_path& path, std::uint16_t allowance, bool never_repeat)
 {
     configuration current;
@@ -47,14 +48,14 @@
 
 enum class failure_mode
 {
-    // The upstream's node says what was not used.
+    // The upstream's node reports the unused allowance.
     reported,
-    // The connection dies; nobody says anything.
+    // The connection breaks and nothing is reported.
     lost,
     mixed
 };
 
-struct tree
+struct call_tree
 {
     request_path path;
     random_source random{1};
@@ -65,10 +66,11 @@
     std::size_t attempts_at_bottom = 0;
 };
 
-attempt_result run_attempt(tree& run, const call_step& step);
+attempt_result run_attempt(call_tree& run, const call_step& step);
 
 void run_call(
-    tree& run, std::size_t depth, const std::shared_ptr<call_record>& parent)
+    call_tree& run, std::size_t depth,
+    const std::shared_ptr<call_record>& parent)
 {
     ++run.calls;
     call_request request;
@@ -93,8 +95,8 @@
     end_call(run.path, call, start_time);
 }
 
-// Every service calls the next ones and then fails.
-attempt_result run_attempt(tree& run, const call_step& step)
+// Calls the services of the next depth, then fails.
+attempt_result run_attempt(call_tree& run, const call_step& step)
 {
     ++run.attempts;
     const auto record = std::make_shared<call_record>(step.context);
@@ -115,7 +117,7 @@
     return result;
 }
 
-TEST(retries, conserved_over_the_tree)
+TEST(retries, allowance_is_conserved_over_the_tree)
 {
     for (const std::size_t fan_out : {1, 2})
     {
@@ -128,7 +130,7 @@
                     "fan-out " + std::to_string(fan_out) + ", mode " +
                     std::to_string(static_cast<int>(mode)) + ", allowance " +
                     std::to_string(allowance));
-                tree run;
+                call_tree run;
                 run.fan_out = fan_out;
                 run.mode = mode;
                 set_up(run.path, allowance, false);
@@ -144,18 +146,19 @@
     }
 }
 
-TEST(retries, pool)
+TEST(retries, allowance_pool)
 {
     allowance_pool pool(5);
     {
-        SCOPED_TRACE("children take shares until nothing is left");
+        SCOPED_TRACE("child calls take shares until none is left");
         EXPECT_EQ(pool.take_share(), 3);
         EXPECT_EQ(pool.take_share(), 1);
         EXPECT_EQ(pool.take_share(), 1);
         EXPECT_EQ(pool.take_share(), 0);
     }
     {
-        SCOPED_TRACE("what comes back can be taken again, until the reply");
+        SCOPED_TRACE(
+            "returned shares can be taken again until the pool is closed");
         pool.return_share(2);
         EXPECT_EQ(pool.take_share(), 1);
         EXPECT_EQ(pool.close(), 1);
@@ -178,12 +181,12 @@
     EXPECT_LE(retries, 110U);
     EXPECT_GE(retries, 100U);
     {
-        SCOPED_TRACE("another workspace has its own");
+        SCOPED_TRACE("another workspace has its own budget");
         EXPECT_TRUE(take_retry(
             budget, workspace_id_of("museum"), service_id_of("shop")));
     }
     {
-        SCOPED_TRACE("a failure is matched by one re-send, for a while");
+        SCOPED_TRACE("a failure matches one re-send, within 10 s");
         record_failed_request(budget, {42, 7, start_time});
         const auto failed = take_failed_request(budget, 42, start_time + 1s);
         ASSERT_TRUE(failed.has_value());
@@ -227,7 +230,7 @@
         return step;
     };
     {
-        SCOPED_TRACE("a refusal that says not-run may be followed by another");
+        SCOPED_TRACE("a not-run refusal is followed by another attempt");
         EXPECT_EQ(
             run({refused(outcome::not_run)}).kind, call_step_kind::attempt);
         EXPECT_EQ(
@@ -235,14 +238,14 @@
             call_step_kind::attempt);
     }
     {
-        SCOPED_TRACE("anything else ends it, and not as not-run");
-        attempt_result died;
+        SCOPED_TRACE("any other result ends the call with outcome unknown");
+        attempt_result failed;
         attempt_result late;
         late.status = attempt_status::timed_out;
-        attempt_result lying;
-        lying.result = outcome::not_run;
+        attempt_result contradictory;
+        contradictory.result = outcome::not_run;
         for (const auto& result :
-             {died, late, lying, refused(outcome::unknown),
+             {failed, late, contradictory, refused(outcome::unknown),
               refused(outcome::ran)})
         {
             const auto step = run({refused(outcome::not_run), result});
@@ -251,7 +254,7 @@
         }
     }
     {
-        SCOPED_TRACE("what was only ever refused has not run");
+        SCOPED_TRACE("a request that was refused each time has not run");
         const std::vector<attempt_result> all(3, refused(outcome::not_run));
         call_step step = run(all);
         EXPECT_EQ(step.result, outcome::not_run);
