--- a/src/core/quarantine/quarantine.cpp
+++ b/src/core/quarantine/quarantine.cpp
@@ -10,7 +10,7 @@
 {
 
 constexpr std::uint8_t max_hops = 8;
-// So many members get a report from each host that it is news to.
+// Each host that receives a new report sends it to this many members.
 constexpr std::size_t fan_out = 6;
 
 std::vector<host_id>
@@ -45,7 +45,7 @@
     }
 }
 
-// Makes room by forgetting what would be forgotten first anyway.
+// Makes room by dropping the suspect that would expire first.
 void evict_oldest_suspect(quarantine_state& state)
 {
     const auto oldest = std::ranges::min_element(
@@ -58,7 +58,7 @@
 }
 
 void add_suspect(
-    quarantine_state& state, const upstream_incarnation& death,
+    quarantine_state& state, const upstream_incarnation& crash,
     std::uint64_t digest, time_point now)
 {
     if (state.quarantined.contains(digest))
@@ -70,7 +70,7 @@
     {
         evict_oldest_suspect(state);
     }
-    state.suspects[digest] = {death, now + state.settings.suspicion_time};
+    state.suspects[digest] = {crash, now + state.settings.suspicion_time};
 }
 
 void quarantine_digest(
@@ -94,38 +94,39 @@
     actions.events.push_back(std::move(quarantined));
 }
 
-// Counts a death once. Returns false for one that is known.
+// Records a crash once. Returns false when it was recorded before.
 bool record_crash(
-    quarantine_state& state, const upstream_incarnation& death,
+    quarantine_state& state, const upstream_incarnation& crash,
     std::span<const std::uint64_t> digests, time_point now,
     control_actions& actions)
 {
-    if (state.deaths.contains(death))
+    if (state.crashes.contains(crash))
     {
         return false;
     }
-    if (state.deaths.size() >= state.settings.max_suspects)
+    if (state.crashes.size() >= state.settings.max_suspects)
     {
-        state.deaths.erase(state.deaths.begin());
+        state.crashes.erase(state.crashes.begin());
     }
-    state.deaths.emplace(death, now + state.settings.suspicion_time);
-    std::vector<std::uint64_t> again;
+    state.crashes.emplace(crash, now + state.settings.suspicion_time);
+    std::vector<std::uint64_t> repeated;
     for (const std::uint64_t digest : digests)
     {
         if (state.suspects.contains(digest))
         {
-            again.push_back(digest);
+            repeated.push_back(digest);
         }
     }
-    // A death beside several suspects does not tell which of them it was;
-    // they stay suspects, run one at a time, and the next death tells.
-    if (again.size() == 1)
+    // With several suspects in flight, the crash does not show which of them
+    // caused it. They stay suspects and run one at a time, so that the next
+    // crash does.
+    if (repeated.size() == 1)
     {
-        quarantine_digest(state, again.front(), now, actions);
+        quarantine_digest(state, repeated.front(), now, actions);
     }
     for (const std::uint64_t digest : digests)
     {
-        add_suspect(state, death, digest, now);
+        add_suspect(state, crash, digest, now);
     }
     ++state.version;
     return true;
@@ -164,17 +165,17 @@
 
 void quarantine_on_crash(
     quarantine_state& state, const membership_state& members,
-    const upstream_incarnation& death, std::span<const std::uint64_t> digests,
+    const upstream_incarnation& crash, std::span<const std::uint64_t> digests,
     time_point now, random_source& random, control_actions& actions)
 {
     const auto reported =
         digests.first(std::min(digests.size(), max_reported_digests));
-    if (!record_crash(state, death, reported, now, actions))
+    if (!record_crash(state, crash, reported, now, actions))
     {
         return;
     }
     quarantine_message message;
-    message.death = death;
+    message.crash = crash;
     message.digests.assign(reported.begin(), reported.end());
     message.hops = max_hops;
     send_to_random_members(members, message, random, actions);
@@ -211,9 +212,9 @@
         return;
     }
     const bool is_new =
-        decoded->death
+        decoded->crash
             ? record_crash(
-                  state, *decoded->death, decoded->digests, now, actions)
+                  state, *decoded->crash, decoded->digests, now, actions)
             : clear_suspects(state, decoded->digests);
     if (is_new)
     {
@@ -230,7 +231,7 @@
     {
         return at;
     };
-    erase_expired(state.deaths, now, identity);
+    erase_expired(state.crashes, now, identity);
     erase_expired(state.quarantined, now, identity);
     erase_expired(
         state.suspects, now,
@@ -245,7 +246,7 @@
 time_point quarantine_due(const quarantine_state& state)
 {
     time_point due = time_point::max();
-    for (const auto& [life, at] : state.deaths)
+    for (const auto& [incarnation, at] : state.crashes)
     {
         due = std::min(due, at);
     }
--- a/src/core/quarantine/quarantine.hpp
+++ b/src/core/quarantine/quarantine.hpp
@@ -1,9 +1,9 @@
-// Requests that crash the upstreams that run them. What was in flight at an
-// upstream's death becomes a suspect; gates run suspects one at a time, a
-// suspect that ends well is cleared everywhere, and one that is in flight at
-// the death of a second upstream life is quarantined for a bounded time. All
-// tables are bounded. Runs on the control thread; the request path reads a
-// published view.
+// Quarantine of requests that crash the upstreams that run them. Requests in
+// flight when an upstream crashes become suspects. Gates run suspects one at a
+// time. A suspect that ends without a crash is cleared on all nodes; one that
+// is in flight when a second upstream incarnation crashes is quarantined for a
+// bounded time. All tables are bounded. Runs on the control thread; the request
+// path reads a published view.
 #pragma once
 
 #include "core/base/random.hpp"
@@ -20,16 +20,17 @@
 namespace cyclamenhold
 {
 
-// One life of one upstream.
+// One incarnation of one upstream.
 struct upstream_incarnation
 {
     host_id host = host_id::none;
-    // Unique within the host; larger is newer.
-    std::uint64_t life = 0;
+    // Unique within the host; a larger value is newer.
+    std::uint64_t incarnation = 0;
     bool operator==(const upstream_incarnation&) const = default;
     bool operator<(const upstream_incarnation& other) const
     {
-        return std::pair(host, life) < std::pair(other.host, other.life);
+        return std::pair(host, incarnation) <
+               std::pair(other.host, other.incarnation);
     }
 };
 
@@ -42,7 +43,7 @@
 struct quarantine_settings
 {
     host_id self = host_id::none;
-    // How long one death is held against a request.
+    // How long a request stays a suspect after a crash.
     duration suspicion_time = 60s;
     duration quarantine_time = 300s;
     std::size_t max_suspects = 4096;
@@ -53,15 +54,16 @@
 {
     quarantine_settings settings;
     std::map<std::uint64_t, suspect> suspects;
-    // By digest: when it is let in again.
+    // The time at which each quarantined digest is admitted again.
     std::map<std::uint64_t, time_point> quarantined;
-    // Deaths that were counted, so that a report counts once.
-    std::map<upstream_incarnation, time_point> deaths;
-    // Grows with each change of suspects or quarantined.
+    // Recorded crashes and when they expire, so that a repeated report is
+    // ignored.
+    std::map<upstream_incarnation, time_point> crashes;
+    // Incremented with each change of suspects or quarantined digests.
     std::uint64_t version = 0;
 };
 
-// What the request path reads, published with each new version.
+// The state that the request path reads, published with each new version.
 struct quarantine_view
 {
     // Sorted.
@@ -72,13 +74,14 @@
 void quarantine_start(
     quarantine_state& state, const quarantine_settings& settings);
 
-// The local upstream died in this life while `digests` were in flight.
+// The local upstream crashed in this incarnation while `digests` were in
+// flight.
 void quarantine_on_crash(
     quarantine_state& state, const membership_state& members,
-    const upstream_incarnation& death, std::span<const std::uint64_t> digests,
+    const upstream_incarnation& crash, std::span<const std::uint64_t> digests,
     time_point now, random_source& random, control_actions& actions);
 
-// A request ended without a death. Nothing happens unless it is a suspect.
+// A request ended without a crash. Has no effect unless it is a suspect.
 void quarantine_on_success(
     quarantine_state& state, const membership_state& members,
     std::uint64_t digest, time_point now, random_source& random,
@@ -89,7 +92,7 @@
     const incoming_message& message, time_point now, random_source& random,
     control_actions& actions);
 
-// Forgets what is over.
+// Drops expired entries.
 void quarantine_tick(quarantine_state& state, time_point now);
 [[nodiscard]] time_point quarantine_due(const quarantine_state& state);
 
--- a/src/core/quarantine/quarantine_messages.cpp
+++ b/src/core/quarantine/quarantine_messages.cpp
@@ -10,11 +10,11 @@
 std::vector<std::uint8_t> encode_quarantine(const quarantine_message& message)
 {
     schema::message_data root;
-    if (message.death)
+    if (message.crash)
     {
         schema::death_report_data body;
-        body.host = static_cast<std::uint64_t>(message.death->host);
-        body.life = message.death->life;
+        body.host = static_cast<std::uint64_t>(message.crash->host);
+        body.life = message.crash->incarnation;
         body.digests = message.digests;
         body.hops = message.hops;
         root.body.Set(std::move(body));
@@ -46,7 +46,7 @@
     quarantine_message message;
     if (const auto* const report = root.body.Asdeath_report())
     {
-        message.death = {static_cast<host_id>(report->host), report->life};
+        message.crash = {static_cast<host_id>(report->host), report->life};
         message.digests = report->digests;
         message.hops = report->hops;
     }
--- a/src/core/quarantine/quarantine_messages.hpp
+++ b/src/core/quarantine/quarantine_messages.hpp
@@ -15,8 +15,8 @@
 
 struct quarantine_message
 {
-    // Without it, the digests are cleared.
-    std::optional<upstream_incarnation> death;
+    // The crash to report. Without it, the digests are cleared.
+    std::optional<upstream_incarnation> crash;
     std::vector<std::uint64_t> digests;
     std::uint8_t hops = 0;
 };
@@ -24,7 +24,7 @@
 [[nodiscard]] std::vector<std::uint8_t>
 encode_quarantine(const quarantine_message& message);
 
-// Nothing when the bytes are malformed.
+// Returns nothing when the bytes are malformed.
 [[nodiscard]] std::optional<quarantine_message>
 decode_quarantine(std::span<const std::uint8_t> payload);
 
--- a/tests/core/quarantine_test.cpp
+++ b/tests/core/quarantine_test.cpp
@@ -17,7 +17,7 @@
     return make_host_id(0x0a000001, number);
 }
 
-// Nodes that hand each other's messages on at once.
+// Nodes whose messages are delivered without delay or loss.
 struct quarantine_fleet
 {
     std::vector<quarantine_state> states;
@@ -76,14 +76,14 @@
     }
 }
 
-void die(
-    quarantine_fleet& fleet, std::size_t node, std::uint64_t life,
+void crash(
+    quarantine_fleet& fleet, std::size_t node, std::uint64_t incarnation,
     const std::vector<std::uint64_t>& digests)
 {
     control_actions actions;
     quarantine_on_crash(
         fleet.states[node], fleet.members[node],
-        {fleet.states[node].settings.self, life}, digests, start_time,
+        {fleet.states[node].settings.self, incarnation}, digests, start_time,
         fleet.random, actions);
     deliver(fleet, node, std::move(actions));
 }
@@ -97,7 +97,8 @@
     deliver(fleet, node, std::move(actions));
 }
 
-bool everywhere(const quarantine_fleet& fleet, std::uint64_t digest)
+bool is_quarantined_everywhere(
+    const quarantine_fleet& fleet, std::uint64_t digest)
 {
     return std::ranges::all_of(
         fleet.states,
@@ -107,13 +108,14 @@
         });
 }
 
-TEST(quarantine, second_death)
+TEST(quarantine, second_crash)
 {
     quarantine_fleet fleet;
     make_fleet(fleet, 16);
-    die(fleet, 0, 1, {7, 8, 9});
+    crash(fleet, 0, 1, {7, 8, 9});
     {
-        SCOPED_TRACE("one death makes suspects on all nodes, no more");
+        SCOPED_TRACE(
+            "one crash makes suspects on all nodes and quarantines none");
         for (const auto& state : fleet.states)
         {
             EXPECT_TRUE(is_suspect(build_quarantine_view(state), 7));
@@ -121,32 +123,34 @@
         }
     }
     {
-        SCOPED_TRACE("the same life dies only once");
-        die(fleet, 0, 1, {7});
-        EXPECT_FALSE(everywhere(fleet, 7));
+        SCOPED_TRACE("a crash of one incarnation counts once");
+        crash(fleet, 0, 1, {7});
+        EXPECT_FALSE(is_quarantined_everywhere(fleet, 7));
     }
     {
-        SCOPED_TRACE("the one suspect at the next death is quarantined by all");
-        die(fleet, 5, 1, {7, 20, 21});
-        EXPECT_TRUE(everywhere(fleet, 7));
+        SCOPED_TRACE(
+            "the only suspect in the next crash is quarantined on all nodes");
+        crash(fleet, 5, 1, {7, 20, 21});
+        EXPECT_TRUE(is_quarantined_everywhere(fleet, 7));
         EXPECT_EQ(fleet.events, 16U);
         EXPECT_EQ(fleet.states[3].quarantined.size(), 1U);
     }
     {
-        SCOPED_TRACE("for a bounded time");
+        SCOPED_TRACE("the quarantine expires");
         quarantine_tick(fleet.states[0], start_time + 301s);
         EXPECT_TRUE(fleet.states[0].quarantined.empty());
         EXPECT_EQ(quarantine_due(fleet.states[0]), time_point::max());
     }
 }
 
-TEST(quarantine, innocent_requests)
+TEST(quarantine, requests_that_caused_no_crash)
 {
     quarantine_fleet fleet;
     make_fleet(fleet, 4);
     {
-        SCOPED_TRACE("a suspect that ends well is cleared on all nodes");
-        die(fleet, 0, 1, {7, 8});
+        SCOPED_TRACE(
+            "a suspect that ends without a crash is cleared on all nodes");
+        crash(fleet, 0, 1, {7, 8});
         succeed(fleet, 1, 8);
         for (const auto& state : fleet.states)
         {
@@ -154,33 +158,34 @@
         }
     }
     {
-        SCOPED_TRACE("a death beside two suspects points at neither");
-        die(fleet, 2, 1, {30});
-        die(fleet, 3, 1, {7, 30});
-        EXPECT_FALSE(everywhere(fleet, 7));
-        EXPECT_FALSE(everywhere(fleet, 30));
+        SCOPED_TRACE("a crash with two suspects quarantines neither");
+        crash(fleet, 2, 1, {30});
+        crash(fleet, 3, 1, {7, 30});
+        EXPECT_FALSE(is_quarantined_everywhere(fleet, 7));
+        EXPECT_FALSE(is_quarantined_everywhere(fleet, 30));
     }
     {
-        SCOPED_TRACE("the next one does, once the innocent has run alone");
+        SCOPED_TRACE(
+            "the next crash does, after the other suspect was cleared");
         succeed(fleet, 0, 30);
-        die(fleet, 1, 1, {7, 40});
-        EXPECT_TRUE(everywhere(fleet, 7));
-        EXPECT_FALSE(everywhere(fleet, 30));
-        EXPECT_FALSE(everywhere(fleet, 40));
+        crash(fleet, 1, 1, {7, 40});
+        EXPECT_TRUE(is_quarantined_everywhere(fleet, 7));
+        EXPECT_FALSE(is_quarantined_everywhere(fleet, 30));
+        EXPECT_FALSE(is_quarantined_everywhere(fleet, 40));
     }
 }
 
-TEST(quarantine, bounded_and_checked)
+TEST(quarantine, tables_are_bounded_and_messages_checked)
 {
     quarantine_fleet fleet;
     make_fleet(fleet, 2);
     fleet.states[0].settings.max_suspects = 10;
-    for (std::uint64_t life = 1; life < 50; ++life)
+    for (std::uint64_t incarnation = 1; incarnation < 50; ++incarnation)
     {
-        die(fleet, 0, life, {life * 2, life * 2 + 1});
+        crash(fleet, 0, incarnation, {incarnation * 2, incarnation * 2 + 1});
     }
     EXPECT_LE(fleet.states[0].suspects.size(), 10U);
-    EXPECT_LE(fleet.states[0].deaths.size(), 10U);
+    EXPECT_LE(fleet.states[0].crashes.size(), 10U);
     const std::vector<std::uint8_t> garbage(40, 0x5a);
     control_actions actions;
     quarantine_on_message(
