--- a/src/core/retries/retry_budget.cpp
+++ b/src/core/retries/retry_budget.cpp
@@ -66,13 +66,13 @@
     return true;
 }
 
-void set_max_service_tokens(retry_budget& budget, double most)
+void set_max_service_tokens(retry_budget& budget, double limit)
 {
     const std::scoped_lock lock(budget.mutex);
-    budget.max_service_tokens = most;
+    budget.max_service_tokens = limit;
     for (auto& [service, entry] : budget.services)
     {
-        entry.tokens = std::min(entry.tokens, most);
+        entry.tokens = std::min(entry.tokens, limit);
     }
 }
 
--- a/src/core/retries/retry_budget.hpp
+++ b/src/core/retries/retry_budget.hpp
@@ -53,7 +53,7 @@
 take_retry(retry_budget& budget, workspace_id workspace, service_id service);
 
 // Sets the bound of each service's budget at this node.
-void set_max_service_tokens(retry_budget& budget, double most);
+void set_max_service_tokens(retry_budget& budget, double limit);
 
 // Records a root request that failed or was refused, so that a re-send can be
 // recognised.
--- a/src/core/routing/routing.cpp
+++ b/src/core/routing/routing.cpp
@@ -25,7 +25,7 @@
 // the latency.
 constexpr double failure_penalty = 10.0;
 // Load, as a part of the limit, above which the expected time includes
-// queueing.
+// queueing. Beyond the limit requests queue.
 constexpr double queueing_threshold = 0.9;
 constexpr double queueing_slope = 8.0;
 // The limit assumed for an upstream that announced no slots.
--- a/tests/core/entry_test.cpp
+++ b/tests/core/entry_test.cpp
@@ -107,17 +107,17 @@
     entry_node node;
     call_state call;
     auto step = node.enter(call, true);
-    attempt_result refused;
-    refused.status = attempt_status::refused;
-    refused.reason = refusal::overloaded;
-    refused.result = outcome::not_run;
+    attempt_result node_refusal;
+    node_refusal.status = attempt_status::refused;
+    node_refusal.reason = refusal::overloaded;
+    node_refusal.result = outcome::not_run;
     {
         SCOPED_TRACE("other nodes are tried without using the allowance");
         for (int i = 0; i < 2; ++i)
         {
             ASSERT_EQ(step.kind, call_step_kind::attempt);
             step = call_on_attempt(
-                node.path, call, refused, start_time, node.random);
+                node.path, call, node_refusal, start_time, node.random);
         }
         EXPECT_EQ(call.context.retry_allowance, 1U);
     }
@@ -127,7 +127,7 @@
         while (step.kind == call_step_kind::attempt)
         {
             step = call_on_attempt(
-                node.path, call, refused, start_time, node.random);
+                node.path, call, node_refusal, start_time, node.random);
         }
         EXPECT_EQ(http_status_of(step.reason, step.result), 503U);
         EXPECT_LE(call.attempts, 4U);
--- a/tests/core/gate_test.cpp
+++ b/tests/core/gate_test.cpp
@@ -278,6 +278,8 @@
     EXPECT_EQ(gate_report(gate, start_time + 100ms).limit, 90U);
 }
 
+// Upstreams that wait for calls to each other deadlock when root requests can
+// use the whole limit.
 TEST(gate, limit_reserved_for_calls)
 {
     gate_state gate;
@@ -336,7 +338,7 @@
     EXPECT_EQ(current_limit(gate.limit, start_time + 6s), 95U);
 }
 
-TEST(gate, refuses_before_deadline)
+TEST(gate, queued_requests_are_refused_before_their_deadline)
 {
     gate_state gate = make_gate(1);
     gate.settings.refuses_before_deadline = true;
--- a/tests/core/retries_test.cpp
+++ b/tests/core/retries_test.cpp
@@ -146,7 +146,7 @@
     }
 }
 
-TEST(retries, allowance_pool)
+TEST(retries, shares_of_the_pool)
 {
     allowance_pool pool(5);
     {
@@ -239,13 +239,13 @@
     }
     {
         SCOPED_TRACE("any other result ends the call with outcome unknown");
-        attempt_result failed;
+        attempt_result broken;
         attempt_result late;
         late.status = attempt_status::timed_out;
         attempt_result contradictory;
         contradictory.result = outcome::not_run;
         for (const auto& result :
-             {failed, late, contradictory, refused(outcome::unknown),
+             {broken, late, contradictory, refused(outcome::unknown),
               refused(outcome::ran)})
         {
             const auto step = run({refused(outcome::not_run), result});
--- a/tests/core/route_throttle_test.cpp
+++ b/tests/core/route_throttle_test.cpp
@@ -95,13 +95,13 @@
     }
     {
         SCOPED_TRACE("while all fail, a few are still admitted");
-        int admitted = 0;
+        int admitted_count = 0;
         for (int i = 0; i < 200; ++i)
         {
-            admitted += send(false) ? 1 : 0;
+            admitted_count += send(false) ? 1 : 0;
         }
-        EXPECT_GT(admitted, 2);
-        EXPECT_LT(admitted, 60);
+        EXPECT_GT(admitted_count, 2);
+        EXPECT_LT(admitted_count, 60);
     }
     {
         SCOPED_TRACE("10 s after the recovery nearly all are admitted");
@@ -109,12 +109,12 @@
         {
             (void)send(true);
         }
-        int admitted = 0;
+        int admitted_count = 0;
         for (int i = 0; i < 200; ++i)
         {
-            admitted += send(true) ? 1 : 0;
+            admitted_count += send(true) ? 1 : 0;
         }
-        EXPECT_GT(admitted, 190);
+        EXPECT_GT(admitted_count, 190);
     }
 }
 
@@ -127,7 +127,7 @@
     time_point now{100s};
     const auto run = [&](bool works, duration time)
     {
-        int admitted = 0;
+        int admitted_count = 0;
         int offered = 0;
         for (const time_point end = now + time; now < end; now += 20ms)
         {
@@ -136,11 +136,11 @@
                     throttle, "route", priority_class::normal, false, now,
                     random))
             {
-                ++admitted;
+                ++admitted_count;
                 throttle_record_end(throttle, "route", works, now);
             }
         }
-        return static_cast<double>(admitted) / offered;
+        return static_cast<double>(admitted_count) / offered;
     };
     EXPECT_GE(run(true, 3s), 0.99);
     (void)run(false, 1500ms);
