--- a/src/core/gate/fair_queue.cpp
+++ b/src/core/gate/fair_queue.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-// Service counts half after this time.
+// The weight of past service halves in this time.
 constexpr duration service_half_life = 1s;
-// The weights are scaled down before they could lose precision.
+// All weights are scaled down above this value, before they lose precision.
 constexpr double max_service_weight = 1e12;
-// Forgets workspaces whose remaining service weighs less than this.
+// Idle workspaces whose remaining service weighs less than this are dropped.
 constexpr double negligible_service = 1e-9;
 
 class_queue& class_of(fair_queue& queue, priority_class priority)
@@ -50,18 +50,18 @@
 
 void advance_weight(fair_queue& queue, time_point now)
 {
-    if (queue.weighted_at == time_point{})
+    if (queue.weight_updated_at == time_point{})
     {
-        queue.weighted_at = now;
+        queue.weight_updated_at = now;
     }
-    if (now <= queue.weighted_at)
+    if (now <= queue.weight_updated_at)
     {
         return;
     }
-    const double half_lives =
-        to_seconds(now - queue.weighted_at) / to_seconds(service_half_life);
+    const double half_lives = to_seconds(now - queue.weight_updated_at) /
+                              to_seconds(service_half_life);
     queue.service_weight *= std::exp2(half_lives);
-    queue.weighted_at = now;
+    queue.weight_updated_at = now;
     if (queue.service_weight > max_service_weight)
     {
         rescale(queue);
@@ -81,7 +81,7 @@
     }
 }
 
-gate_request take(
+gate_request remove_request(
     fair_queue& queue, class_queue& entry, workspace_id id,
     std::map<std::uint64_t, gate_request>::iterator position)
 {
@@ -93,12 +93,13 @@
     {
         entry.waiting.erase({workspace.served, id});
     }
-    queue.positions.erase(request.ticket);
-    queue.deadlines.erase({request.context.deadline, request.ticket});
+    queue.positions.erase(request.entry_id);
+    queue.deadlines.erase({request.context.deadline, request.entry_id});
     return request;
 }
 
-// What a workspace would have got if all its waiting requests were served.
+// The service that a workspace would have received if all its queued requests
+// were served.
 double demand_of(const fair_queue& queue, const workspace_queue& workspace)
 {
     return workspace.served + static_cast<double>(workspace.requests.size()) *
@@ -119,10 +120,10 @@
     workspace_queue& workspace = entry.workspaces[id];
     const std::uint64_t sequence = queue.next_sequence++;
     queue.positions.emplace(
-        request.ticket,
+        request.entry_id,
         queue_position{
             request.context.priority, id, sequence, request.context.deadline});
-    queue.deadlines.emplace(request.context.deadline, request.ticket);
+    queue.deadlines.emplace(request.context.deadline, request.entry_id);
     if (workspace.requests.empty())
     {
         entry.waiting.emplace(workspace.served, id);
@@ -147,14 +148,14 @@
         const auto position = order == queue_order::newest_first
                                   ? std::prev(requests.end())
                                   : requests.begin();
-        gate_request request = take(queue, entry, id, position);
+        gate_request request = remove_request(queue, entry, id, position);
         add_service(queue, entry, id, now);
         return request;
     }
     return std::nullopt;
 }
 
-void queue_note_served(
+void queue_record_served(
     fair_queue& queue, const request_context& context, time_point now)
 {
     add_service(
@@ -162,12 +163,12 @@
 }
 
 std::optional<gate_request>
-queue_displace(fair_queue& queue, const gate_request& newcomer)
+queue_evict(fair_queue& queue, const gate_request& incoming)
 {
     for (auto level = priority_class_count; level-- > 0;)
     {
         class_queue& entry = queue.classes[level];
-        const auto own = static_cast<std::size_t>(newcomer.context.priority);
+        const auto own = static_cast<std::size_t>(incoming.context.priority);
         if (level < own)
         {
             return std::nullopt;
@@ -187,21 +188,22 @@
                 largest_demand = demand;
             }
         }
-        const workspace_id newcomer_id = newcomer.context.workspace;
-        if (level == own && largest != newcomer_id &&
-            demand_of(queue, entry.workspaces[newcomer_id]) >= largest_demand)
+        const workspace_id incoming_id = incoming.context.workspace;
+        if (level == own && largest != incoming_id &&
+            demand_of(queue, entry.workspaces[incoming_id]) >= largest_demand)
         {
             return std::nullopt;
         }
         auto& requests = entry.workspaces[largest].requests;
-        return take(queue, entry, largest, requests.begin());
+        return remove_request(queue, entry, largest, requests.begin());
     }
     return std::nullopt;
 }
 
-std::optional<gate_request> queue_remove(fair_queue& queue, gate_ticket ticket)
+std::optional<gate_request>
+queue_remove(fair_queue& queue, gate_entry_id entry_id)
 {
-    const auto found = queue.positions.find(ticket);
+    const auto found = queue.positions.find(entry_id);
     if (found == queue.positions.end())
     {
         return std::nullopt;
@@ -209,7 +211,7 @@
     const queue_position position = found->second;
     class_queue& entry = class_of(queue, position.priority);
     auto& requests = entry.workspaces[position.workspace].requests;
-    return take(
+    return remove_request(
         queue, entry, position.workspace, requests.find(position.sequence));
 }
 
@@ -218,8 +220,8 @@
     std::vector<gate_request> expired;
     while (!queue.deadlines.empty() && queue.deadlines.begin()->first <= now)
     {
-        const gate_ticket ticket = queue.deadlines.begin()->second;
-        expired.push_back(*queue_remove(queue, ticket));
+        const gate_entry_id entry_id = queue.deadlines.begin()->second;
+        expired.push_back(*queue_remove(queue, entry_id));
     }
     return expired;
 }
--- a/src/core/quarantine/quarantine.cpp
+++ b/src/core/quarantine/quarantine.cpp
@@ -10,7 +10,7 @@
 {
 
 constexpr std::uint8_t max_hops = 8;
-// So many members get a report from each host that it is news to.
+// Each host that receives a new report sends it to this many members.
 constexpr std::size_t fan_out = 6;
 
 std::vector<host_id>
@@ -29,7 +29,7 @@
     return alive;
 }
 
-void spread(
+void send_to_random_members(
     const membership_state& members, const quarantine_message& message,
     random_source& random, control_actions& actions)
 {
@@ -45,21 +45,21 @@
     }
 }
 
-// Makes room by forgetting what would be forgotten first anyway.
-void forget_oldest_suspect(quarantine_state& state)
+// Makes room by dropping the suspect that would expire first.
+void evict_oldest_suspect(quarantine_state& state)
 {
     const auto oldest = std::ranges::min_element(
         state.suspects, {},
         [](const auto& entry)
         {
-            return entry.second.forgotten_at;
+            return entry.second.expires_at;
         });
     state.suspects.erase(oldest);
 }
 
 void add_suspect(
-    quarantine_state& state, const upstream_life& death, std::uint64_t digest,
-    time_point now)
+    quarantine_state& state, const upstream_incarnation& crash,
+    std::uint64_t digest, time_point now)
 {
     if (state.quarantined.contains(digest))
     {
@@ -68,9 +68,9 @@
     if (state.suspects.size() >= state.settings.max_suspects &&
         !state.suspects.contains(digest))
     {
-        forget_oldest_suspect(state);
+        evict_oldest_suspect(state);
     }
-    state.suspects[digest] = {death, now + state.settings.suspicion_time};
+    state.suspects[digest] = {crash, now + state.settings.suspicion_time};
 }
 
 void quarantine_digest(
@@ -94,38 +94,39 @@
     actions.events.push_back(std::move(quarantined));
 }
 
-// Counts a death once. Returns false for one that is known.
-bool count_death(
-    quarantine_state& state, const upstream_life& death,
+// Records a crash once. Returns false when it was recorded before.
+bool record_crash(
+    quarantine_state& state, const upstream_incarnation& crash,
     std::span<const std::uint64_t> digests, time_point now,
     control_actions& actions)
 {
-    if (state.deaths.contains(death))
+    if (state.crashes.contains(crash))
     {
         return false;
     }
-    if (state.deaths.size() >= state.settings.max_suspects)
+    if (state.crashes.size() >= state.settings.max_suspects)
     {
-        state.deaths.erase(state.deaths.begin());
+        state.crashes.erase(state.crashes.begin());
     }
-    state.deaths.emplace(death, now + state.settings.suspicion_time);
-    std::vector<std::uint64_t> again;
+    state.crashes.emplace(crash, now + state.settings.suspicion_time);
+    std::vector<std::uint64_t> repeated;
     for (const std::uint64_t digest : digests)
     {
         if (state.suspects.contains(digest))
         {
-            again.push_back(digest);
+            repeated.push_back(digest);
         }
     }
-    // A death beside several suspects does not tell which of them it was;
-    // they stay suspects, run one at a time, and the next death tells.
-    if (again.size() == 1)
+    // With several suspects in flight, the crash does not show which of them
+    // caused it. They stay suspects and run one at a time, so that the next
+    // crash does.
+    if (repeated.size() == 1)
     {
-        quarantine_digest(state, again.front(), now, actions);
+        quarantine_digest(state, repeated.front(), now, actions);
     }
     for (const std::uint64_t digest : digests)
     {
-        add_suspect(state, death, digest, now);
+        add_suspect(state, crash, digest, now);
     }
     ++state.version;
     return true;
@@ -144,7 +145,7 @@
 }
 
 template <class Entries, class TimeOf>
-void erase_due(Entries& entries, time_point now, TimeOf time_of)
+void erase_expired(Entries& entries, time_point now, TimeOf time_of)
 {
     std::erase_if(
         entries,
@@ -162,22 +163,22 @@
     state.settings = settings;
 }
 
-void quarantine_on_death(
+void quarantine_on_crash(
     quarantine_state& state, const membership_state& members,
-    const upstream_life& death, std::span<const std::uint64_t> digests,
+    const upstream_incarnation& crash, std::span<const std::uint64_t> digests,
     time_point now, random_source& random, control_actions& actions)
 {
     const auto reported =
         digests.first(std::min(digests.size(), max_reported_digests));
-    if (!count_death(state, death, reported, now, actions))
+    if (!record_crash(state, crash, reported, now, actions))
     {
         return;
     }
     quarantine_message message;
-    message.death = death;
+    message.crash = crash;
     message.digests.assign(reported.begin(), reported.end());
     message.hops = max_hops;
-    spread(members, message, random, actions);
+    send_to_random_members(members, message, random, actions);
 }
 
 void quarantine_on_success(
@@ -192,7 +193,7 @@
     quarantine_message message;
     message.digests = {digest};
     message.hops = max_hops;
-    spread(members, message, random, actions);
+    send_to_random_members(members, message, random, actions);
 }
 
 void quarantine_on_message(
@@ -210,33 +211,33 @@
         actions.events.push_back(std::move(bad));
         return;
     }
-    const bool is_news =
-        decoded->death
-            ? count_death(
-                  state, *decoded->death, decoded->digests, now, actions)
+    const bool is_new =
+        decoded->crash
+            ? record_crash(
+                  state, *decoded->crash, decoded->digests, now, actions)
             : clear_suspects(state, decoded->digests);
-    if (is_news)
+    if (is_new)
     {
         decoded->hops = std::min(decoded->hops, max_hops);
         decoded->hops -= decoded->hops > 0 ? 1 : 0;
-        spread(members, *decoded, random, actions);
+        send_to_random_members(members, *decoded, random, actions);
     }
 }
 
 void quarantine_tick(quarantine_state& state, time_point now)
 {
     const auto before = state.suspects.size() + state.quarantined.size();
-    const auto itself = [](time_point at)
+    const auto identity = [](time_point at)
     {
         return at;
     };
-    erase_due(state.deaths, now, itself);
-    erase_due(state.quarantined, now, itself);
-    erase_due(
+    erase_expired(state.crashes, now, identity);
+    erase_expired(state.quarantined, now, identity);
+    erase_expired(
         state.suspects, now,
         [](const suspect& entry)
         {
-            return entry.forgotten_at;
+            return entry.expires_at;
         });
     const auto after = state.suspects.size() + state.quarantined.size();
     state.version += after != before ? 1 : 0;
@@ -245,7 +246,7 @@
 time_point quarantine_due(const quarantine_state& state)
 {
     time_point due = time_point::max();
-    for (const auto& [life, at] : state.deaths)
+    for (const auto& [incarnation, at] : state.crashes)
     {
         due = std::min(due, at);
     }
@@ -255,7 +256,7 @@
     }
     for (const auto& [digest, entry] : state.suspects)
     {
-        due = std::min(due, entry.forgotten_at);
+        due = std::min(due, entry.expires_at);
     }
     return due;
 }
--- a/src/core/request/call_record.hpp
+++ b/src/core/request/call_record.hpp
@@ -1,5 +1,5 @@
-// What the upstream's node keeps of a running request, for the child calls that
-// the upstream makes while it runs.
+// The record that the upstream's node keeps of a running request, for the child
+// calls that the upstream makes meanwhile.
 #pragma once
 
 #include "core/base/request_context.hpp"
@@ -18,20 +18,20 @@
 class downstream_level
 {
 public:
-    void note(const admission_level& level);
+    void record(const admission_level& level);
     [[nodiscard]] admission_level read() const;
 
 private:
     std::atomic<std::uint32_t> positions_{admission_position_count};
 };
 
-// How long a running request has waited for its child calls, overlapping ones
-// counted once. Thread-safe.
-class child_time
+// The time a running request has waited for its child calls. Overlapping calls
+// are counted once. Thread-safe.
+class child_wait_time
 {
 public:
-    void note_begin(time_point now);
-    void note_end(time_point now);
+    void record_begin(time_point now);
+    void record_end(time_point now);
     [[nodiscard]] duration total(time_point now) const;
 
 private:
@@ -51,7 +51,7 @@
     request_context context;
     allowance_pool allowance;
     downstream_level downstream;
-    child_time below;
+    child_wait_time child_wait;
 };
 
 } // namespace cyclamenhold
--- a/src/core/retries/retry_budget.cpp
+++ b/src/core/retries/retry_budget.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-// Retries allowed for each first attempt.
+// Retries earned by each first attempt.
 constexpr double retry_share = 0.1;
-// What a workspace may save up, and has at first, so that small ones can
+// Bound and initial value of a workspace's budget, so that small workspaces can
 // retry at all.
 constexpr double max_tokens = 10.0;
 constexpr std::size_t failed_table_size = 4096;
@@ -26,7 +26,7 @@
 double& tokens_of(retry_budget& budget, service_id service)
 {
     const auto [found, is_new] = budget.services.try_emplace(
-        service, retry_tokens{budget.most_for_service});
+        service, retry_tokens{budget.max_service_tokens});
     return found->second.tokens;
 }
 
@@ -41,14 +41,14 @@
 
 } // namespace
 
-void note_first_attempt(
+void record_first_attempt(
     retry_budget& budget, workspace_id workspace, service_id service)
 {
     const std::scoped_lock lock(budget.mutex);
     double& tokens = tokens_of(budget, workspace);
     tokens = std::min(max_tokens, tokens + retry_share);
     double& of_service = tokens_of(budget, service);
-    of_service = std::min(budget.most_for_service, of_service + retry_share);
+    of_service = std::min(budget.max_service_tokens, of_service + retry_share);
 }
 
 bool take_retry(
@@ -66,17 +66,17 @@
     return true;
 }
 
-void limit_service_retries(retry_budget& budget, double most)
+void set_max_service_tokens(retry_budget& budget, double limit)
 {
     const std::scoped_lock lock(budget.mutex);
-    budget.most_for_service = most;
+    budget.max_service_tokens = limit;
     for (auto& [service, entry] : budget.services)
     {
-        entry.tokens = std::min(entry.tokens, most);
+        entry.tokens = std::min(entry.tokens, limit);
     }
 }
 
-void note_failed_request(retry_budget& budget, const failed_request& request)
+void record_failed_request(retry_budget& budget, const failed_request& request)
 {
     const std::scoped_lock lock(budget.mutex);
     entry_of(budget, request.digest) = request;
--- a/src/core/routing/routing.cpp
+++ b/src/core/routing/routing.cpp
@@ -12,35 +12,36 @@
 namespace
 {
 
-// At most this share of a service's upstreams is ejected at once, and never
-// the only one.
+// At most this share of a service's upstreams is ejected at once, and never the
+// only one.
 constexpr double max_ejected_share = 0.5;
-// Of the requests that a level would refuse, one in so many goes through, to
-// learn when the upstream accepts more.
+// One in this many requests that a level would refuse is sent anyway, to detect
+// when the upstream accepts more.
 constexpr std::uint64_t probe_interval = 50;
-// Requests leave the data centre for an upstream where they are expected to
-// take at most this part of the time that they would take here.
+// Requests leave the data centre for an upstream where the expected time is at
+// most this part of the expected time here.
 constexpr double spill_advantage = 0.7;
-// How much longer requests are expected to take at an upstream where all fail.
+// Extra expected time at an upstream where all requests fail, as a multiple of
+// the latency.
 constexpr double failure_penalty = 10.0;
-// Above this part of its limit an upstream is taken to be nearly full: beyond
-// the limit requests queue.
-constexpr double nearly_full = 0.9;
+// Load, as a part of the limit, above which the expected time includes
+// queueing. Beyond the limit requests queue.
+constexpr double queueing_threshold = 0.9;
 constexpr double queueing_slope = 8.0;
-// The limit assumed of an upstream that announced nothing usable.
+// The limit assumed for an upstream that announced no slots.
 constexpr double default_limit = 10.0;
-// Share of the announced slots to count on while an upstream warms up and has
-// not reported its limit.
+// Share of the announced slots to assume while an upstream warms up and has not
+// reported its limit.
 constexpr double warming_share = 0.1;
 
 using candidate_list =
     boost::container::small_vector<const routing_candidate*, 16>;
 
-// What all candidates of one choice are judged by.
-struct choice_situation
+// Inputs that are common to all candidates of one selection.
+struct selection_context
 {
     time_point now{};
-    // Stands for the latency of upstreams whose own is not known.
+    // Used for upstreams whose own latency is unknown.
     duration typical{};
 };
 
@@ -90,15 +91,15 @@
     return std::max(1.0, limit);
 }
 
-// Load for each request that the upstream may run, the next one included.
+// Load per request that the upstream may run, the next one included.
 double relative_load(const routing_candidate& candidate, time_point now)
 {
     const upstream_stats& stats = *candidate.stats;
-    return (believed_load(stats, now) + 1.0) /
+    return (estimated_load(stats, now) + 1.0) /
            (limit_of(candidate) * probation_share(stats, now));
 }
 
-// Drops the ejected ones, but not more of them than the set share; those whose
+// Removes ejected upstreams, at most max_ejected_share of all. Those whose
 // ejection ends first stay.
 void drop_ejected(candidate_list& usable, time_point now)
 {
@@ -132,31 +133,33 @@
         std::remove_if(usable.begin(), usable.end(), is_dropped), usable.end());
 }
 
-// The mean of the latencies that are known, which stands for those that are
-// not; any time when none is.
+// The mean of the known latencies, used for the unknown ones. An arbitrary
+// value when none is known.
 duration typical_latency(const candidate_list& candidates)
 {
     duration sum{};
     int known = 0;
     for (const auto* candidate : candidates)
     {
-        const duration latency = believed_latency(*candidate->stats);
+        const duration latency = estimated_latency(*candidate->stats);
         sum += latency;
         known += latency > duration::zero() ? 1 : 0;
     }
     return known == 0 ? duration(1ms) : sum / known;
 }
 
-// How long one more request is expected to take, in seconds. Upstreams differ
-// in speed, slow down when they are nearly full, and queue beyond that.
+// The expected time of one more request, in seconds. Upstreams differ in
+// latency, slow down as the load approaches the limit, and queue requests
+// beyond it.
 double expected_time(
-    const routing_candidate& candidate, const choice_situation& situation)
+    const routing_candidate& candidate, const selection_context& selection)
 {
-    const duration believed = believed_latency(*candidate.stats);
+    const duration estimated = estimated_latency(*candidate.stats);
     const duration latency =
-        believed > duration::zero() ? believed : situation.typical;
-    const double load = relative_load(candidate, situation.now);
-    const double queueing = queueing_slope * std::max(0.0, load - nearly_full);
+        estimated > duration::zero() ? estimated : selection.typical;
+    const double load = relative_load(candidate, selection.now);
+    const double queueing =
+        queueing_slope * std::max(0.0, load - queueing_threshold);
     const double failures =
         1.0 + failure_penalty * failure_share(*candidate.stats);
     return to_seconds(latency) * (1.0 + std::pow(load, 4) + queueing) *
@@ -164,7 +167,7 @@
 }
 
 const routing_candidate* better_of_two(
-    const candidate_list& candidates, const choice_situation& situation,
+    const candidate_list& candidates, const selection_context& selection,
     random_source& random)
 {
     const auto size = candidates.size();
@@ -174,19 +177,19 @@
         return candidates[first];
     }
     const auto second = (first + 1 + random_below(random, size - 1)) % size;
-    return expected_time(*candidates[second], situation) <
-                   expected_time(*candidates[first], situation)
+    return expected_time(*candidates[second], selection) <
+                   expected_time(*candidates[first], selection)
                ? candidates[second]
                : candidates[first];
 }
 
-// Local upstreams first; another data centre when there are none, or when a
-// request is expected to take clearly less time there.
-const routing_candidate* pick(
+// Prefers local upstreams. Selects one in another data centre when there are
+// none here, or when the expected time there is clearly shorter.
+const routing_candidate* select_candidate(
     const candidate_list& candidates, data_centre_id local_data_centre,
     time_point now, random_source& random)
 {
-    const choice_situation situation{now, typical_latency(candidates)};
+    const selection_context selection{now, typical_latency(candidates)};
     candidate_list local;
     candidate_list remote;
     for (const auto* candidate : candidates)
@@ -197,21 +200,21 @@
     }
     if (local.empty())
     {
-        return better_of_two(remote, situation, random);
+        return better_of_two(remote, selection, random);
     }
-    const auto* const here = better_of_two(local, situation, random);
+    const auto* const best_local = better_of_two(local, selection, random);
     if (remote.empty())
     {
-        return here;
+        return best_local;
     }
-    const auto* const there = better_of_two(remote, situation, random);
-    const bool is_better_there =
-        expected_time(*there, situation) <
-        expected_time(*here, situation) * spill_advantage;
-    return is_better_there ? there : here;
+    const auto* const best_remote = better_of_two(remote, selection, random);
+    const bool is_remote_faster =
+        expected_time(*best_remote, selection) <
+        expected_time(*best_local, selection) * spill_advantage;
+    return is_remote_faster ? best_remote : best_local;
 }
 
-// Drops those whose hosts do not answer, while others do.
+// Removes upstreams whose hosts do not answer, unless no host does.
 void drop_unreachable(candidate_list& usable, time_point now)
 {
     const auto is_dropped = [now](const routing_candidate* candidate)
@@ -270,7 +273,7 @@
     return view;
 }
 
-bool note_host_unreachable(
+bool record_host_unreachable(
     const routing_view& view, host_id host, time_point now)
 {
     bool is_new = false;
@@ -280,7 +283,7 @@
         {
             if (candidate.location.host == host)
             {
-                is_new = note_unreachable(*candidate.stats, now) || is_new;
+                is_new = record_unreachable(*candidate.stats, now) || is_new;
             }
         }
     }
@@ -310,7 +313,7 @@
     std::uint32_t most_open = 0;
     for (const auto* candidate : usable)
     {
-        const admission_level level = believed_level(*candidate->stats, now);
+        const admission_level level = effective_level(*candidate->stats, now);
         most_open = std::max(most_open, open_positions(level));
         if (passes(level, context.priority, context.slot))
         {
@@ -323,7 +326,7 @@
         choice.reason = refusal::overloaded;
         return choice;
     }
-    choice.candidate = *pick(
+    choice.candidate = *select_candidate(
         accepting.empty() ? usable : accepting, view.local_data_centre, now,
         random);
     return choice;
