--- a/src/adapters/operators_api.cpp
+++ b/src/adapters/operators_api.cpp
@@ -90,7 +90,7 @@
     }
     return json_reply(
         200, json::object{
-                 {"plan", seal_plan(made, loop.services.fleet_secret)},
+                 {"plan", sign_plan(made, loop.services.fleet_secret)},
                  {"base_revision", made.base_revision},
                  {"diff", json::value_from(diff)}});
 }
@@ -145,7 +145,7 @@
         return;
     }
     const auto opened =
-        open_plan(token, loop.services.fleet_secret, wall_clock_ms());
+        verify_plan(token, loop.services.fleet_secret, wall_clock_ms());
     if (!opened.ok())
     {
         const std::string message(opened.status().message());
--- a/src/core/configuration/chain.cpp
+++ b/src/core/configuration/chain.cpp
@@ -12,10 +12,10 @@
 {
 
 // Longer than any call's timeout, by which it should have been answered.
-constexpr duration call_patience = 60s;
+constexpr duration call_expiry = 60s;
 
 // Takes calls that were never answered for failed.
-void give_up_calls(
+void expire_calls(
     chain_state& state, const membership_state& members, time_point now,
     random_source& random, control_actions& actions)
 {
@@ -48,7 +48,7 @@
     call.operation = operation;
     chain_call& made = state.calls[call.call_id];
     made = purpose;
-    made.expires_at = state.last_tick + call_patience;
+    made.expires_at = state.last_tick + call_expiry;
     actions.platform_calls.push_back(std::move(call));
     return actions.platform_calls.back();
 }
@@ -68,12 +68,12 @@
     random_source& random, control_actions& actions)
 {
     state.last_tick = now;
-    give_up_calls(state, members, now, random, actions);
-    advance_watch(state, members, now, random, actions);
-    advance_upkeep(state, members, now, random, actions);
-    advance_commits(state, now, actions);
+    expire_calls(state, members, now, random, actions);
+    tick_watch(state, members, now, random, actions);
+    tick_snapshot_maintenance(state, members, now, random, actions);
+    tick_commits(state, now, actions);
     pull_if_behind(state, members, now, random, actions);
-    tell_peers(state, members, random, actions);
+    advertise_revision(state, members, random, actions);
 }
 
 void chain_on_message(
@@ -91,7 +91,7 @@
         actions.events.push_back(std::move(happened));
         return;
     }
-    take_chain_message(
+    handle_chain_message(
         state, members, message.from, *decoded, now, random, actions);
 }
 
@@ -113,27 +113,27 @@
     case chain_call_kind::watch:
     case chain_call_kind::read_snapshot_head:
     case chain_call_kind::read_snapshot_part:
-        take_watch_reply(state, call, reply, now, random, actions);
+        handle_watch_reply(state, call, reply, now, random, actions);
         break;
     case chain_call_kind::check_snapshot_head:
     case chain_call_kind::write_snapshot_part:
     case chain_call_kind::write_snapshot_head:
     case chain_call_kind::find_obsolete:
     case chain_call_kind::delete_obsolete:
-        take_upkeep_reply(state, call, reply, now, random, actions);
+        handle_maintenance_reply(state, call, reply, now, random, actions);
         break;
     case chain_call_kind::commit_check:
     case chain_call_kind::commit_write:
-        take_commit_reply(state, call, reply, now, random, actions);
+        handle_commit_reply(state, call, reply, now, random, actions);
         break;
     }
-    tell_peers(state, members, random, actions);
+    advertise_revision(state, members, random, actions);
 }
 
 time_point chain_due(const chain_state& state)
 {
     time_point due = std::min(watch_due(state), commits_due(state));
-    if (state.told_revision < state.current->revision)
+    if (state.advertised_revision < state.current->revision)
     {
         due = std::min(due, state.last_tick);
     }
@@ -150,7 +150,7 @@
         actions);
 }
 
-void share_with_members(const chain_state& state, membership_state& members)
+void publish_to_membership(const chain_state& state, membership_state& members)
 {
     members.own_revision = state.current->revision;
     members.platform_read_at =
--- a/src/core/configuration/chain.hpp
+++ b/src/core/configuration/chain.hpp
@@ -96,7 +96,7 @@
     checking,
     writing,
     // Others have gone on from the base: reads what took the revision.
-    settling
+    resolving
 };
 
 struct pending_commit
@@ -140,8 +140,8 @@
 // The platform as the members that watch it for their data centre use it.
 struct chain_watch
 {
-    bool chosen = false;
-    time_point next_choice_at{};
+    bool is_watcher = false;
+    time_point next_watcher_check_at{};
     bool reading = false;
     time_point next_read_at{};
     bool watching = false;
@@ -150,13 +150,13 @@
     // The platform's revision up to which no change is missing here.
     std::uint64_t platform_revision = 0;
     // The snapshot is looked for in one cycle of reads out of several.
-    std::uint32_t cycles = 0;
-    bool platform_up = true;
+    std::uint32_t read_cycles = 0;
+    bool is_platform_available = true;
     std::optional<incoming_snapshot> snapshot;
 };
 
-// The upkeep of snapshots in the platform.
-struct chain_upkeep
+// The maintenance of snapshots in the platform.
+struct snapshot_maintenance
 {
     std::uint64_t snapshot_revision = 0;
     time_point next_snapshot_at{};
@@ -194,14 +194,14 @@
     // The last revision that could not be applied.
     std::uint64_t rejected_revision = 0;
     chain_watch watch;
-    chain_upkeep upkeep;
+    snapshot_maintenance maintenance;
     std::optional<chain_pull> pull;
     std::optional<incoming_snapshot> peer_snapshot;
     std::map<commit_token, pending_commit> commits;
     std::map<std::uint64_t, chain_call> calls;
     std::uint64_t next_call = 1;
     // A revision that has not yet been told to peers.
-    std::uint64_t told_revision = 0;
+    std::uint64_t advertised_revision = 0;
     time_point last_tick{};
 };
 
@@ -231,6 +231,6 @@
 
 // Hands the revision in force, and when the platform was read, to the
 // membership, which tells them to others with each message.
-void share_with_members(const chain_state& state, membership_state& members);
+void publish_to_membership(const chain_state& state, membership_state& members);
 
 } // namespace cyclamenhold
--- a/src/core/configuration/chain_apply.cpp
+++ b/src/core/configuration/chain_apply.cpp
@@ -36,7 +36,7 @@
     return apply_result::rejected;
 }
 
-void put_in_force(
+void set_current(
     chain_state& state, std::shared_ptr<const configuration> next,
     std::uint64_t chain_hash, time_point now, control_actions& actions)
 {
@@ -52,7 +52,7 @@
         "revision " + std::to_string(state.current->revision));
 }
 
-void remember(chain_state& state, const chain_change& change)
+void append_recent(chain_state& state, const chain_change& change)
 {
     state.recent.push_back(change);
     std::size_t size = 0;
@@ -81,7 +81,7 @@
 {
     if (change.revision <= state.current->revision)
     {
-        return apply_result::known;
+        return apply_result::already_applied;
     }
     if (change.revision > state.current->revision + 1)
     {
@@ -105,8 +105,8 @@
         return reject(state, change.revision, to_string(found), actions);
     }
     next->revision = change.revision;
-    put_in_force(state, std::move(next), hash_after(change), now, actions);
-    remember(state, change);
+    set_current(state, std::move(next), hash_after(change), now, actions);
+    append_recent(state, change);
     return apply_result::applied;
 }
 
@@ -116,7 +116,7 @@
 {
     if (head.revision <= state.current->revision)
     {
-        return apply_result::known;
+        return apply_result::already_applied;
     }
     findings found;
     auto next = parse_configuration(text, found);
@@ -127,7 +127,7 @@
             actions);
     }
     state.recent.clear();
-    put_in_force(
+    set_current(
         state, std::make_shared<const configuration>(std::move(*next)),
         head.chain, now, actions);
     return apply_result::applied;
--- a/src/core/configuration/chain_apply.hpp
+++ b/src/core/configuration/chain_apply.hpp
@@ -11,7 +11,7 @@
 {
     applied,
     // In force already.
-    known,
+    already_applied,
     // Changes before it are missing.
     gap,
     rejected
--- a/src/core/configuration/chain_commits.cpp
+++ b/src/core/configuration/chain_commits.cpp
@@ -11,8 +11,8 @@
 {
 
 // How long a commit is tried.
-constexpr duration commit_time = 8s;
-constexpr std::size_t most_changes_described = 5;
+constexpr duration commit_timeout = 8s;
+constexpr std::size_t max_changes_described = 5;
 
 void finish(
     chain_state& state, commit_token token, commit_status status,
@@ -33,7 +33,7 @@
         {
             continue;
         }
-        if (described++ == most_changes_described)
+        if (described++ == max_changes_described)
         {
             return text + "; and more";
         }
@@ -49,7 +49,8 @@
 }
 
 // Checks a commit against what is remembered. True when it is settled by that.
-bool settle(chain_state& state, commit_token token, pending_commit& pending)
+bool finish_if_decided(
+    chain_state& state, commit_token token, pending_commit& pending)
 {
     const std::uint64_t base = pending.change.revision - 1;
     if (const auto* done = find_operation(state, pending.change.operation_id);
@@ -62,11 +63,11 @@
     {
         return false;
     }
-    const bool remembers =
+    const bool has_changes_since_base =
         !state.recent.empty() && state.recent.front().revision <= base + 1;
-    if (!remembers)
+    if (!has_changes_since_base)
     {
-        pending.step = commit_step::settling;
+        pending.step = commit_step::resolving;
         return false;
     }
     finish(
@@ -123,12 +124,12 @@
     chain_state& state, commit_token token, pending_commit& pending,
     control_actions& actions)
 {
-    if (settle(state, token, pending))
+    if (finish_if_decided(state, token, pending))
     {
         return;
     }
     const std::uint64_t base = pending.change.revision - 1;
-    if (pending.step == commit_step::settling)
+    if (pending.step == commit_step::resolving)
     {
         read_key(state, token, change_key(base + 1), pending, actions);
         return;
@@ -162,7 +163,7 @@
     write_change(state, token, pending, actions);
 }
 
-void take_missing_change(
+void apply_missing_change(
     chain_state& state, const platform_reply& reply, time_point now,
     control_actions& actions)
 {
@@ -177,13 +178,13 @@
     }
 }
 
-void take_checked_base(
+void handle_base_reply(
     chain_state& state, commit_token token, pending_commit& pending,
     const platform_reply& reply, control_actions& actions)
 {
     const bool is_first = pending.change.revision == 1;
-    const bool base_stands = is_first == reply.entries.empty();
-    if (!base_stands)
+    const bool is_base_intact = is_first == reply.entries.empty();
+    if (!is_base_intact)
     {
         finish(
             state, token, commit_status::conflict, state.current->revision,
@@ -195,7 +196,7 @@
 }
 
 // Another writer, or an earlier attempt of this one, took the revision.
-void take_present_change(
+void resolve_conflict(
     chain_state& state, commit_token token, const platform_reply& reply,
     time_point now, control_actions& actions)
 {
@@ -218,13 +219,13 @@
         present->revision, is_own ? "" : describe_change(*present));
 }
 
-void take_written(
+void handle_write_reply(
     chain_state& state, commit_token token, const platform_reply& reply,
     time_point now, control_actions& actions)
 {
     if (reply.status != platform_status::ok)
     {
-        take_present_change(state, token, reply, now, actions);
+        resolve_conflict(state, token, reply, now, actions);
         return;
     }
     const chain_change change = state.commits.at(token).change;
@@ -247,13 +248,12 @@
     pending_commit& pending = state.commits[token];
     pending = {};
     pending.change = change;
-    pending.deadline = now + commit_time;
+    pending.deadline = now + commit_timeout;
     pending.retry_at = now;
     step(state, token, pending, actions);
 }
 
-void advance_commits(
-    chain_state& state, time_point now, control_actions& actions)
+void tick_commits(chain_state& state, time_point now, control_actions& actions)
 {
     std::vector<commit_token> tokens;
     for (const auto& item : state.commits)
@@ -295,7 +295,7 @@
     return due;
 }
 
-void take_commit_reply(
+void handle_commit_reply(
     chain_state& state, const chain_call& call, const platform_reply& reply,
     time_point now, random_source& random, control_actions& actions)
 {
@@ -314,21 +314,21 @@
     }
     if (call.kind == chain_call_kind::commit_write)
     {
-        take_written(state, call.token, reply, now, actions);
+        handle_write_reply(state, call.token, reply, now, actions);
         return;
     }
-    if (pending.step == commit_step::settling)
+    if (pending.step == commit_step::resolving)
     {
-        take_present_change(state, call.token, reply, now, actions);
+        resolve_conflict(state, call.token, reply, now, actions);
         return;
     }
     if (pending.step == commit_step::checking)
     {
-        take_checked_base(state, call.token, pending, reply, actions);
+        handle_base_reply(state, call.token, pending, reply, actions);
         return;
     }
     const std::uint64_t before = state.current->revision;
-    take_missing_change(state, reply, now, actions);
+    apply_missing_change(state, reply, now, actions);
     if (state.current->revision == before)
     {
         retry_later(pending, now, random);
--- a/src/core/configuration/chain_commits.hpp
+++ b/src/core/configuration/chain_commits.hpp
@@ -11,10 +11,9 @@
 void start_commit(
     chain_state& state, commit_token token, const chain_change& change,
     time_point now, control_actions& actions);
-void advance_commits(
-    chain_state& state, time_point now, control_actions& actions);
+void tick_commits(chain_state& state, time_point now, control_actions& actions);
 [[nodiscard]] time_point commits_due(const chain_state& state);
-void take_commit_reply(
+void handle_commit_reply(
     chain_state& state, const chain_call& call, const platform_reply& reply,
     time_point now, random_source& random, control_actions& actions);
 
--- a/src/core/configuration/chain_peers.cpp
+++ b/src/core/configuration/chain_peers.cpp
@@ -12,8 +12,8 @@
 
 using wire::configuration::message_body;
 
-constexpr std::size_t told_local_peers = 3;
-constexpr double far_messages_a_revision = 24.0;
+constexpr std::size_t local_peers_per_revision = 3;
+constexpr double remote_messages_per_revision = 24.0;
 // A change up to this size travels inside the message that tells of it.
 constexpr std::size_t max_change_in_datagram = 900;
 constexpr std::size_t max_changes_message_size = 200'000;
@@ -113,7 +113,7 @@
     }
 }
 
-void take_snapshot_part(
+void handle_snapshot_part(
     chain_state& state, host_id from, const chain_message& message,
     time_point now, control_actions& actions)
 {
@@ -140,7 +140,7 @@
     state.pull.reset();
 }
 
-void take_changes(
+void apply_changes(
     chain_state& state, const chain_message& message, time_point now,
     control_actions& actions)
 {
@@ -152,15 +152,15 @@
 
 } // namespace
 
-void tell_peers(
+void advertise_revision(
     chain_state& state, const membership_state& members, random_source& random,
     control_actions& actions)
 {
-    if (state.told_revision >= state.current->revision)
+    if (state.advertised_revision >= state.current->revision)
     {
         return;
     }
-    state.told_revision = state.current->revision;
+    state.advertised_revision = state.current->revision;
     chain_message message;
     message.revision = state.current->revision;
     if (!state.recent.empty() &&
@@ -169,13 +169,13 @@
         message.changes.push_back(state.recent.back());
     }
     const auto& local = members.targets.local;
-    for (std::size_t told = 0; told < told_local_peers; ++told)
+    for (std::size_t sent = 0; sent < local_peers_per_revision; ++sent)
     {
         send(pick_host(local, random), message, transport::datagram, actions);
     }
-    const double far_share =
-        far_messages_a_revision / static_cast<double>(local.size() + 1);
-    if (random_fraction(random) < far_share)
+    const double remote_probability =
+        remote_messages_per_revision / static_cast<double>(local.size() + 1);
+    if (random_fraction(random) < remote_probability)
     {
         send(
             pick_far_host(members, random), message, transport::datagram,
@@ -205,7 +205,7 @@
     send_pull(state, source, now, actions);
 }
 
-void take_chain_message(
+void handle_chain_message(
     chain_state& state, const membership_state& members, host_id from,
     const chain_message& message, time_point now, random_source& random,
     control_actions& actions)
@@ -213,7 +213,7 @@
     switch (message.kind)
     {
     case message_body::head:
-        take_changes(state, message, now, actions);
+        apply_changes(state, message, now, actions);
         if (message.revision > state.current->revision &&
             (!state.pull.has_value() || now >= state.pull->expires_at))
         {
@@ -224,19 +224,19 @@
         answer_pull(state, from, message.revision, actions);
         break;
     case message_body::changes:
-        take_changes(state, message, now, actions);
+        apply_changes(state, message, now, actions);
         if (state.pull.has_value() && state.pull->from == from)
         {
             state.pull.reset();
         }
         break;
     case message_body::snapshot_part:
-        take_snapshot_part(state, from, message, now, actions);
+        handle_snapshot_part(state, from, message, now, actions);
         break;
     case message_body::NONE:
         break;
     }
-    tell_peers(state, members, random, actions);
+    advertise_revision(state, members, random, actions);
 }
 
 } // namespace cyclamenhold
--- a/src/core/configuration/chain_peers.hpp
+++ b/src/core/configuration/chain_peers.hpp
@@ -8,7 +8,7 @@
 {
 
 // Tells a few peers of the revision in force, if that was not done yet.
-void tell_peers(
+void advertise_revision(
     chain_state& state, const membership_state& members, random_source& random,
     control_actions& actions);
 
@@ -17,7 +17,7 @@
     chain_state& state, const membership_state& members, time_point now,
     random_source& random, control_actions& actions);
 
-void take_chain_message(
+void handle_chain_message(
     chain_state& state, const membership_state& members, host_id from,
     const chain_message& message, time_point now, random_source& random,
     control_actions& actions);
--- a/src/core/configuration/chain_platform.hpp
+++ b/src/core/configuration/chain_platform.hpp
@@ -19,21 +19,21 @@
 void start_watch(chain_state& state, time_point now, random_source& random);
 
 // Reads and watches what is due, if this node is one of those that do.
-void advance_watch(
+void tick_watch(
     chain_state& state, const membership_state& members, time_point now,
     random_source& random, control_actions& actions);
 [[nodiscard]] time_point watch_due(const chain_state& state);
 
-void take_watch_reply(
+void handle_watch_reply(
     chain_state& state, const chain_call& call, const platform_reply& reply,
     time_point now, random_source& random, control_actions& actions);
 
 // Writes a snapshot when enough changes have come since the last, and deletes
 // what it makes obsolete.
-void advance_upkeep(
+void tick_snapshot_maintenance(
     chain_state& state, const membership_state& members, time_point now,
     random_source& random, control_actions& actions);
-void take_upkeep_reply(
+void handle_maintenance_reply(
     chain_state& state, const chain_call& call, const platform_reply& reply,
     time_point now, random_source& random, control_actions& actions);
 
--- a/src/core/configuration/chain_watch.cpp
+++ b/src/core/configuration/chain_watch.cpp
@@ -10,14 +10,14 @@
 constexpr std::size_t watchers_per_data_centre = 3;
 constexpr std::string_view watcher_salt = "configuration";
 constexpr duration first_read_delay = 1s;
-constexpr duration choice_interval = 1s;
+constexpr duration watcher_check_interval = 1s;
 // Watches may miss changes, so the chain is read now and then besides.
 constexpr duration read_interval = 5s;
 constexpr duration watch_time = 20s;
 constexpr duration watch_timeout = 23s;
-constexpr std::uint32_t most_changes_watched = 16;
+constexpr std::uint32_t max_changes_per_watch = 16;
 // One cycle of reads in so many looks for a snapshot first.
-constexpr std::uint32_t snapshot_cycles = 6;
+constexpr std::uint32_t cycles_per_snapshot_check = 6;
 constexpr duration shortest_backoff = 500ms;
 constexpr duration longest_backoff = 15s;
 
@@ -34,11 +34,12 @@
     actions.events.push_back(std::move(happened));
 }
 
-void note_platform(chain_watch& watch, bool up, control_actions& actions)
+void record_platform_status(
+    chain_watch& watch, bool up, control_actions& actions)
 {
-    if (watch.platform_up != up)
+    if (watch.is_platform_available != up)
     {
-        watch.platform_up = up;
+        watch.is_platform_available = up;
         emit(
             actions, up ? event_kind::platform_available
                         : event_kind::platform_unavailable);
@@ -75,7 +76,7 @@
 
 void start_reading(chain_state& state, control_actions& actions)
 {
-    if (state.watch.cycles++ % snapshot_cycles == 0)
+    if (state.watch.read_cycles++ % cycles_per_snapshot_check == 0)
     {
         read_snapshot_head(state, actions);
         return;
@@ -92,16 +93,16 @@
     call.expected_version = state.watch.platform_revision;
     call.wait = watch_time;
     call.timeout = watch_timeout;
-    call.limit = most_changes_watched;
+    call.limit = max_changes_per_watch;
     state.watch.watching = true;
 }
 
-void fail(
+void record_failure(
     chain_state& state, time_point now, random_source& random,
     control_actions& actions)
 {
     chain_watch& watch = state.watch;
-    note_platform(watch, false, actions);
+    record_platform_status(watch, false, actions);
     const time_point again = now + chain_backoff(watch.failures, random);
     ++watch.failures;
     watch.snapshot.reset();
@@ -116,7 +117,7 @@
 }
 
 // The newest change is in force here, as of the platform's revision.
-void note_up_to_date(
+void record_up_to_date(
     chain_state& state, const platform_reply& reply, time_point now,
     random_source& random)
 {
@@ -125,13 +126,13 @@
     state.watch.next_read_at = now + jittered(read_interval, random);
 }
 
-void take_change(
+void handle_change_reply(
     chain_state& state, const platform_reply& reply, time_point now,
     random_source& random, control_actions& actions)
 {
     if (reply.entries.empty())
     {
-        note_up_to_date(state, reply, now, random);
+        record_up_to_date(state, reply, now, random);
         return;
     }
     const auto change = parse_change(reply.entries.front().value);
@@ -152,7 +153,7 @@
     read_next_change(state, actions);
 }
 
-void take_snapshot_head(
+void handle_snapshot_head(
     chain_state& state, const platform_reply& reply, control_actions& actions)
 {
     if (!reply.entries.empty())
@@ -160,8 +161,8 @@
         const auto head = parse_snapshot_head(reply.entries.front().value);
         if (head.has_value())
         {
-            state.upkeep.snapshot_revision =
-                std::max(state.upkeep.snapshot_revision, head->revision);
+            state.maintenance.snapshot_revision =
+                std::max(state.maintenance.snapshot_revision, head->revision);
         }
         if (head.has_value() && head->revision > state.current->revision)
         {
@@ -174,7 +175,7 @@
     read_next_change(state, actions);
 }
 
-void take_snapshot_part(
+void handle_snapshot_part(
     chain_state& state, std::uint32_t part, const platform_reply& reply,
     time_point now, control_actions& actions)
 {
@@ -183,7 +184,7 @@
     {
         // Replaced meanwhile; the head is read again in the next cycle.
         snapshot.reset();
-        state.watch.cycles = 0;
+        state.watch.read_cycles = 0;
         return;
     }
     if (!add_snapshot_part(*snapshot, part, reply.entries.front().value))
@@ -196,7 +197,7 @@
     read_next_change(state, actions);
 }
 
-void take_watched(
+void handle_watch_result(
     chain_state& state, const platform_reply& reply, time_point now,
     random_source& random, control_actions& actions)
 {
@@ -204,11 +205,11 @@
     watch.watching = false;
     if (!is_answer(reply))
     {
-        fail(state, now, random, actions);
+        record_failure(state, now, random, actions);
         return;
     }
     watch.failures = 0;
-    note_platform(watch, true, actions);
+    record_platform_status(watch, true, actions);
     // A short pause, so that a busy chain is not watched call by call.
     watch.next_watch_at = now + jittered(200ms, random);
     if (reply.entries.empty())
@@ -246,21 +247,23 @@
 void start_watch(chain_state& state, time_point now, random_source& random)
 {
     // By then most nodes know who else is there to do it.
-    state.watch.next_choice_at = now + jittered(first_read_delay, random);
+    state.watch.next_watcher_check_at =
+        now + jittered(first_read_delay, random);
 }
 
-void advance_watch(
+void tick_watch(
     chain_state& state, const membership_state& members, time_point now,
     random_source& random, control_actions& actions)
 {
     chain_watch& watch = state.watch;
-    if (now >= watch.next_choice_at)
+    if (now >= watch.next_watcher_check_at)
     {
-        watch.next_choice_at = now + jittered(choice_interval, random);
-        watch.chosen =
+        watch.next_watcher_check_at =
+            now + jittered(watcher_check_interval, random);
+        watch.is_watcher =
             is_chosen_member(members, watcher_salt, watchers_per_data_centre);
     }
-    if (!watch.chosen)
+    if (!watch.is_watcher)
     {
         return;
     }
@@ -278,42 +281,42 @@
 time_point watch_due(const chain_state& state)
 {
     const chain_watch& watch = state.watch;
-    time_point due = watch.next_choice_at;
-    if (watch.chosen && !watch.reading)
+    time_point due = watch.next_watcher_check_at;
+    if (watch.is_watcher && !watch.reading)
     {
         due = std::min(due, watch.next_read_at);
     }
     return due;
 }
 
-void take_watch_reply(
+void handle_watch_reply(
     chain_state& state, const chain_call& call, const platform_reply& reply,
     time_point now, random_source& random, control_actions& actions)
 {
     if (call.kind == chain_call_kind::watch)
     {
-        take_watched(state, reply, now, random, actions);
+        handle_watch_result(state, reply, now, random, actions);
         return;
     }
     state.watch.reading = false;
     if (!is_answer(reply))
     {
-        fail(state, now, random, actions);
+        record_failure(state, now, random, actions);
         return;
     }
     state.watch.failures = 0;
-    note_platform(state.watch, true, actions);
+    record_platform_status(state.watch, true, actions);
     if (call.kind == chain_call_kind::read_change)
     {
-        take_change(state, reply, now, random, actions);
+        handle_change_reply(state, reply, now, random, actions);
     }
     if (call.kind == chain_call_kind::read_snapshot_head)
     {
-        take_snapshot_head(state, reply, actions);
+        handle_snapshot_head(state, reply, actions);
     }
     if (call.kind == chain_call_kind::read_snapshot_part)
     {
-        take_snapshot_part(
+        handle_snapshot_part(
             state, static_cast<std::uint32_t>(call.token), reply, now, actions);
     }
 }
--- a/src/core/configuration/document_source.cpp
+++ b/src/core/configuration/document_source.cpp
@@ -22,7 +22,7 @@
 constexpr duration pull_delay = 250ms;
 constexpr duration pull_timeout = 700ms;
 // The most that a peer may make this node hold.
-constexpr std::uint32_t most_parts = 1'000;
+constexpr std::uint32_t max_snapshot_parts = 1'000;
 
 void emit(control_actions& actions, event_kind kind, std::string detail)
 {
@@ -32,13 +32,13 @@
     actions.events.push_back(std::move(happened));
 }
 
-void note_platform(
+void record_platform_status(
     document_state& state, bool up, std::string detail,
     control_actions& actions)
 {
-    if (state.platform_up != up)
+    if (state.is_platform_available != up)
     {
-        state.platform_up = up;
+        state.is_platform_available = up;
         emit(
             actions,
             up ? event_kind::platform_available
@@ -58,13 +58,13 @@
     call.key = state.settings.key;
     call.timeout = timeout;
     state.call_id = call.call_id;
-    state.asked_at = now;
+    state.call_started_at = now;
     state.call_expires_at = now + timeout + watch_grace;
     actions.platform_calls.push_back(std::move(call));
     return actions.platform_calls.back();
 }
 
-void ask(document_state& state, time_point now, control_actions& actions)
+void start_call(document_state& state, time_point now, control_actions& actions)
 {
     state.is_watch = state.platform_revision != 0;
     if (!state.is_watch)
@@ -79,7 +79,7 @@
     state.call_expires_at += call.wait;
 }
 
-void adopt(
+void set_current(
     document_state& state, chain_state& chain, configuration next,
     std::string_view text, const std::string& from, time_point now,
     control_actions& actions)
@@ -101,7 +101,7 @@
 
 // Takes a document that is newer than the one in force; false when it cannot
 // be read.
-bool take_document(
+bool apply_document(
     document_state& state, chain_state& chain, std::string_view text,
     const std::string& from, time_point now, control_actions& actions)
 {
@@ -115,16 +115,16 @@
     }
     if (read->revision > chain.current->revision)
     {
-        adopt(state, chain, *std::move(read), text, from, now, actions);
+        set_current(state, chain, *std::move(read), text, from, now, actions);
     }
     return true;
 }
 
-void fail(
+void record_failure(
     document_state& state, const platform_reply& reply, time_point now,
     random_source& random, control_actions& actions)
 {
-    note_platform(
+    record_platform_status(
         state, false,
         std::string(state.is_watch ? "watch: " : "read: ") +
             std::string(name_of(reply.status)),
@@ -140,18 +140,18 @@
 
 // When the platform had nothing newer than what this answer holds. An empty
 // watch ends no sooner than it has waited.
-time_point proven_at(
+time_point confirmed_at(
     const document_state& state, const platform_reply& reply, time_point now)
 {
-    const time_point waited = state.asked_at + state.settings.watch_time;
+    const time_point waited = state.call_started_at + state.settings.watch_time;
     return state.is_watch && reply.entries.empty() && now >= waited
                ? waited
-               : state.asked_at;
+               : state.call_started_at;
 }
 
 // True when the newest version is in force here, or is one that no node can
 // read.
-bool take_entries(
+bool apply_entries(
     document_state& state, chain_state& chain, const platform_reply& reply,
     time_point now, control_actions& actions)
 {
@@ -164,7 +164,7 @@
         {
             continue;
         }
-        if (take_document(
+        if (apply_document(
                 state, chain, entry->value, "the platform", now, actions))
         {
             return true;
@@ -227,14 +227,14 @@
     }
 }
 
-void take_part(
+void handle_snapshot_part(
     document_state& state, chain_state& chain, host_id from,
     const chain_message& message, time_point now, control_actions& actions)
 {
     // Only what was asked for, so that no peer makes this node hold more.
     if (from != state.pull.from ||
         message.snapshot.revision <= chain.current->revision ||
-        message.snapshot.parts > most_parts)
+        message.snapshot.parts > max_snapshot_parts)
     {
         return;
     }
@@ -247,7 +247,7 @@
     {
         return;
     }
-    take_document(
+    apply_document(
         state, chain, join_parts(state.incoming), "host " + to_string(from),
         now, actions);
     state.incoming = {};
@@ -279,7 +279,7 @@
     }
     if (state.call_id == 0 && now >= state.next_call_at)
     {
-        ask(state, now, actions);
+        start_call(state, now, actions);
     }
     pull_if_behind(state, chain, members, now, actions);
 }
@@ -304,7 +304,8 @@
     }
     if (decoded->kind == message_body::snapshot_part)
     {
-        take_part(state, chain, message.from, *decoded, now, actions);
+        handle_snapshot_part(
+            state, chain, message.from, *decoded, now, actions);
     }
 }
 
@@ -328,12 +329,12 @@
                           reply.status == platform_status::not_found;
     if (!answered)
     {
-        fail(state, reply, now, random, actions);
+        record_failure(state, reply, now, random, actions);
         return;
     }
     state.failures = 0;
-    note_platform(state, true, {}, actions);
-    if (!take_entries(state, chain, reply, now, actions))
+    record_platform_status(state, true, {}, actions);
+    if (!apply_entries(state, chain, reply, now, actions))
     {
         // There is no document yet.
         state.next_call_at = now + shortest_backoff;
@@ -341,9 +342,9 @@
     }
     state.next_call_at = now;
     chain.platform_read_at =
-        std::max(chain.platform_read_at, proven_at(state, reply, now));
+        std::max(chain.platform_read_at, confirmed_at(state, reply, now));
     state.platform_revision = std::max(state.platform_revision, reply.revision);
-    ask(state, now, actions);
+    start_call(state, now, actions);
 }
 
 time_point document_due(const document_state& state)
--- a/src/core/configuration/document_source.hpp
+++ b/src/core/configuration/document_source.hpp
@@ -41,7 +41,7 @@
     std::uint64_t call_id = 0;
     std::uint64_t last_call_id = 0;
     bool is_watch = false;
-    time_point asked_at{};
+    time_point call_started_at{};
     time_point call_expires_at{};
     time_point next_call_at{};
     std::uint32_t failures = 0;
@@ -50,7 +50,7 @@
     std::uint64_t platform_revision = 0;
     // The platform's revision of the last document that could not be read.
     std::uint64_t rejected_version = 0;
-    bool platform_up = true;
+    bool is_platform_available = true;
     // Since when a peer is known to have a newer version.
     time_point behind_since{};
     chain_pull pull;
--- a/src/core/configuration/fleet_status.cpp
+++ b/src/core/configuration/fleet_status.cpp
@@ -7,7 +7,8 @@
 namespace
 {
 
-data_centre_status& status_of(fleet_status& status, const member& known)
+data_centre_status&
+find_or_add_status(fleet_status& status, const member& known)
 {
     const auto found = std::ranges::find(
         status.data_centres, known.data_centre,
@@ -67,7 +68,7 @@
 {
     fleet_status status;
     status.revision = chain.current->revision;
-    status.in_force_for = now - chain.applied_at;
+    status.applied_ago = now - chain.applied_at;
     status.highest_revision =
         std::max(members.highest_revision, chain.current->revision);
     const time_point read_at =
@@ -76,7 +77,7 @@
     {
         status.platform_read_ago = now - read_at;
     }
-    status.reads_platform = chain.watch.chosen;
+    status.is_platform_watcher = chain.watch.is_watcher;
 
     data_centre_status own;
     own.data_centre = members.settings.data_centre;
@@ -85,7 +86,8 @@
     status.data_centres.push_back(own);
     for (const auto& item : members.members)
     {
-        count_member(status_of(status, item.second), chain, item.second);
+        count_member(
+            find_or_add_status(status, item.second), chain, item.second);
     }
     for (auto& entry : status.data_centres)
     {
@@ -93,7 +95,7 @@
         if (link != members.data_centres.end())
         {
             entry.reachable = link->second.reachable;
-            entry.heard_ago = now - link->second.heard_at;
+            entry.last_contact_ago = now - link->second.heard_at;
         }
     }
     return status;
--- a/src/core/configuration/fleet_status.hpp
+++ b/src/core/configuration/fleet_status.hpp
@@ -17,7 +17,7 @@
     data_centre_id data_centre = data_centre_id::none;
     // Heard from lately, by this node or by others it hears from.
     bool reachable = true;
-    duration heard_ago{};
+    duration last_contact_ago{};
     std::uint32_t alive = 0;
     std::uint32_t suspect = 0;
     std::uint32_t dead = 0;
@@ -35,7 +35,7 @@
 struct fleet_status
 {
     std::uint64_t revision = 0;
-    duration in_force_for{};
+    duration applied_ago{};
     // The highest revision heard of.
     std::uint64_t highest_revision = 0;
     // Since any node, as far as heard, read the newest revision from the
@@ -43,7 +43,7 @@
     // made elsewhere, withdrawn keys among them, may be missing here.
     std::optional<duration> platform_read_ago;
     // This node reads the platform for its data centre.
-    bool reads_platform = false;
+    bool is_platform_watcher = false;
     // This node's own data centre, with the node itself, comes first.
     std::vector<data_centre_status> data_centres;
 };
--- a/src/core/configuration/chain_upkeep.cpp
+++ b/src/core/configuration/snapshot_maintenance.cpp
@@ -9,15 +9,15 @@
 namespace
 {
 
-constexpr std::string_view upkeep_salt = "configuration-snapshot";
+constexpr std::string_view maintenance_salt = "configuration-snapshot";
 // Data centres write snapshots too; whoever comes first spares the others.
 constexpr double snapshot_spread_seconds = 20.0;
 
-platform_call& add_upkeep_call(
+platform_call& add_maintenance_call(
     chain_state& state, platform_operation operation, chain_call_kind kind,
     control_actions& actions)
 {
-    state.upkeep.busy = true;
+    state.maintenance.busy = true;
     return add_chain_call(
         state, platform_client::configuration, operation, {kind, 0, {}},
         actions);
@@ -25,7 +25,7 @@
 
 void check_head(chain_state& state, control_actions& actions)
 {
-    auto& call = add_upkeep_call(
+    auto& call = add_maintenance_call(
         state, platform_operation::get, chain_call_kind::check_snapshot_head,
         actions);
     call.key = snapshot_head_key;
@@ -33,8 +33,8 @@
 
 void write_part(chain_state& state, control_actions& actions)
 {
-    const outgoing_snapshot& snapshot = *state.upkeep.snapshot;
-    auto& call = add_upkeep_call(
+    const outgoing_snapshot& snapshot = *state.maintenance.snapshot;
+    auto& call = add_maintenance_call(
         state, platform_operation::compare_and_swap,
         chain_call_kind::write_snapshot_part, actions);
     call.key = snapshot_part_key(snapshot.head.revision, snapshot.next_part);
@@ -43,8 +43,8 @@
 
 void write_head(chain_state& state, control_actions& actions)
 {
-    const outgoing_snapshot& snapshot = *state.upkeep.snapshot;
-    auto& call = add_upkeep_call(
+    const outgoing_snapshot& snapshot = *state.maintenance.snapshot;
+    auto& call = add_maintenance_call(
         state, platform_operation::compare_and_swap,
         chain_call_kind::write_snapshot_head, actions);
     call.key = snapshot_head_key;
@@ -54,37 +54,39 @@
 
 void find_obsolete(chain_state& state, control_actions& actions)
 {
-    auto& call = add_upkeep_call(
+    auto& call = add_maintenance_call(
         state, platform_operation::get, chain_call_kind::find_obsolete,
         actions);
-    call.key = state.upkeep.obsolete.back();
+    call.key = state.maintenance.obsolete.back();
 }
 
 // What the snapshot before the present one still needed.
-void note_obsolete(chain_upkeep& upkeep, const outgoing_snapshot& snapshot)
+void record_obsolete_keys(
+    snapshot_maintenance& maintenance, const outgoing_snapshot& snapshot)
 {
     const snapshot_head& old = snapshot.present;
     for (std::uint32_t part = 0; part < old.parts; ++part)
     {
-        upkeep.obsolete.push_back(snapshot_part_key(old.revision, part));
+        maintenance.obsolete.push_back(snapshot_part_key(old.revision, part));
     }
     if (old.revision <= changes_kept)
     {
         return;
     }
     const std::uint64_t last = old.revision - changes_kept;
-    const std::uint64_t step = snapshot.head.revision - old.revision;
-    const std::uint64_t first = last > step ? last - step + 1 : 1;
+    const std::uint64_t revisions_since = snapshot.head.revision - old.revision;
+    const std::uint64_t first =
+        last > revisions_since ? last - revisions_since + 1 : 1;
     for (std::uint64_t revision = first; revision <= last; ++revision)
     {
-        upkeep.obsolete.push_back(change_key(revision));
+        maintenance.obsolete.push_back(change_key(revision));
     }
 }
 
-void take_present_head(
+void handle_present_head(
     chain_state& state, const platform_reply& reply, control_actions& actions)
 {
-    chain_upkeep& upkeep = state.upkeep;
+    snapshot_maintenance& maintenance = state.maintenance;
     outgoing_snapshot snapshot;
     if (!reply.entries.empty())
     {
@@ -95,7 +97,7 @@
             snapshot.present = *head;
         }
     }
-    upkeep.snapshot_revision = snapshot.present.revision;
+    maintenance.snapshot_revision = snapshot.present.revision;
     const std::uint64_t revision = state.current->revision;
     if (revision < snapshot.present.revision + changes_between_snapshots)
     {
@@ -105,21 +107,21 @@
     snapshot.head = {
         revision, state.chain_hash,
         static_cast<std::uint32_t>(snapshot.parts.size())};
-    upkeep.snapshot = std::move(snapshot);
+    maintenance.snapshot = std::move(snapshot);
     write_part(state, actions);
 }
 
-void take_written_part(
+void handle_part_reply(
     chain_state& state, const platform_reply& reply, control_actions& actions)
 {
-    outgoing_snapshot& snapshot = *state.upkeep.snapshot;
+    outgoing_snapshot& snapshot = *state.maintenance.snapshot;
     const bool written =
         reply.status == platform_status::ok ||
         (reply.status == platform_status::conflict && !reply.entries.empty() &&
          reply.entries.front().value == snapshot.parts[snapshot.next_part]);
     if (!written)
     {
-        state.upkeep.snapshot.reset();
+        state.maintenance.snapshot.reset();
         return;
     }
     if (++snapshot.next_part < snapshot.parts.size())
@@ -130,40 +132,40 @@
     write_head(state, actions);
 }
 
-void take_written_head(chain_state& state, const platform_reply& reply)
+void handle_head_reply(chain_state& state, const platform_reply& reply)
 {
-    chain_upkeep& upkeep = state.upkeep;
-    const outgoing_snapshot& snapshot = *upkeep.snapshot;
+    snapshot_maintenance& maintenance = state.maintenance;
+    const outgoing_snapshot& snapshot = *maintenance.snapshot;
     const auto present = reply.entries.empty()
                              ? std::nullopt
                              : parse_snapshot_head(reply.entries.front().value);
     if (reply.status == platform_status::ok)
     {
-        upkeep.snapshot_revision = snapshot.head.revision;
-        note_obsolete(upkeep, snapshot);
+        maintenance.snapshot_revision = snapshot.head.revision;
+        record_obsolete_keys(maintenance, snapshot);
     }
     else if (present.has_value() && present->revision != snapshot.head.revision)
     {
         // Another one was faster; these parts belong to no head.
         for (std::uint32_t part = 0; part < snapshot.head.parts; ++part)
         {
-            upkeep.obsolete.push_back(
+            maintenance.obsolete.push_back(
                 snapshot_part_key(snapshot.head.revision, part));
         }
     }
-    upkeep.snapshot.reset();
+    maintenance.snapshot.reset();
 }
 
-void take_found_obsolete(
+void handle_obsolete_reply(
     chain_state& state, const platform_reply& reply, control_actions& actions)
 {
-    chain_upkeep& upkeep = state.upkeep;
+    snapshot_maintenance& maintenance = state.maintenance;
     if (reply.entries.empty())
     {
-        upkeep.obsolete.pop_back();
+        maintenance.obsolete.pop_back();
         return;
     }
-    auto& call = add_upkeep_call(
+    auto& call = add_maintenance_call(
         state, platform_operation::compare_and_delete,
         chain_call_kind::delete_obsolete, actions);
     call.key = reply.entries.front().key;
@@ -172,45 +174,45 @@
 
 } // namespace
 
-void advance_upkeep(
+void tick_snapshot_maintenance(
     chain_state& state, const membership_state& members, time_point now,
     random_source& random, control_actions& actions)
 {
-    chain_upkeep& upkeep = state.upkeep;
-    const bool is_due =
-        state.watch.chosen && !upkeep.busy && now >= upkeep.next_snapshot_at;
+    snapshot_maintenance& maintenance = state.maintenance;
+    const bool is_due = state.watch.is_watcher && !maintenance.busy &&
+                        now >= maintenance.next_snapshot_at;
     if (!is_due)
     {
         return;
     }
-    if (!upkeep.obsolete.empty())
+    if (!maintenance.obsolete.empty())
     {
         find_obsolete(state, actions);
         return;
     }
     const bool enough_changes =
         state.current->revision >=
-        upkeep.snapshot_revision + changes_between_snapshots;
-    if (!enough_changes || !is_chosen_member(members, upkeep_salt, 1))
+        maintenance.snapshot_revision + changes_between_snapshots;
+    if (!enough_changes || !is_chosen_member(members, maintenance_salt, 1))
     {
         return;
     }
-    upkeep.next_snapshot_at =
+    maintenance.next_snapshot_at =
         now + from_seconds(snapshot_spread_seconds * random_fraction(random));
     check_head(state, actions);
 }
 
-void take_upkeep_reply(
+void handle_maintenance_reply(
     chain_state& state, const chain_call& call, const platform_reply& reply,
     time_point now, random_source& random, control_actions& actions)
 {
-    chain_upkeep& upkeep = state.upkeep;
-    upkeep.busy = false;
+    snapshot_maintenance& maintenance = state.maintenance;
+    maintenance.busy = false;
     if (reply.status == platform_status::unavailable ||
         reply.status == platform_status::rejected)
     {
-        upkeep.snapshot.reset();
-        upkeep.next_snapshot_at =
+        maintenance.snapshot.reset();
+        maintenance.next_snapshot_at =
             now +
             from_seconds(snapshot_spread_seconds * random_fraction(random));
         return;
@@ -218,19 +220,19 @@
     switch (call.kind)
     {
     case chain_call_kind::check_snapshot_head:
-        take_present_head(state, reply, actions);
+        handle_present_head(state, reply, actions);
         return;
     case chain_call_kind::write_snapshot_part:
-        take_written_part(state, reply, actions);
+        handle_part_reply(state, reply, actions);
         return;
     case chain_call_kind::write_snapshot_head:
-        take_written_head(state, reply);
+        handle_head_reply(state, reply);
         return;
     case chain_call_kind::find_obsolete:
-        take_found_obsolete(state, reply, actions);
+        handle_obsolete_reply(state, reply, actions);
         return;
     case chain_call_kind::delete_obsolete:
-        upkeep.obsolete.pop_back();
+        maintenance.obsolete.pop_back();
         return;
     case chain_call_kind::read_change:
     case chain_call_kind::watch:
--- a/src/core/intent/apply_operations.cpp
+++ b/src/core/intent/apply_operations.cpp
@@ -7,42 +7,42 @@
 namespace
 {
 
-const std::string& name_in_list(const workspace& value)
+const std::string& sort_key(const workspace& value)
 {
     return value.name;
 }
 
-const std::string& name_in_list(const workspace_key& value)
+const std::string& sort_key(const workspace_key& value)
 {
     return value.id;
 }
 
-const std::string& name_in_list(const route& value)
+const std::string& sort_key(const route& value)
 {
     return value.name;
 }
 
-const std::string& name_in_list(const data_centre& value)
+const std::string& sort_key(const data_centre& value)
 {
     return value.name;
 }
 
 template <class Value>
-auto place_of(std::vector<Value>& values, const std::string& name)
+auto lower_bound_of(std::vector<Value>& values, const std::string& name)
 {
     return std::lower_bound(
         values.begin(), values.end(), name,
         [](const Value& value, const std::string& wanted)
         {
-            return name_in_list(value) < wanted;
+            return sort_key(value) < wanted;
         });
 }
 
 template <class Value>
-Value* find_in(std::vector<Value>& values, const std::string& name)
+Value* find_by_name(std::vector<Value>& values, const std::string& name)
 {
-    const auto place = place_of(values, name);
-    if (place == values.end() || name_in_list(*place) != name)
+    const auto place = lower_bound_of(values, name);
+    if (place == values.end() || sort_key(*place) != name)
     {
         return nullptr;
     }
@@ -50,19 +50,19 @@
 }
 
 template <class Value>
-void put_in(std::vector<Value>& values, const Value& value)
+void insert_or_replace(std::vector<Value>& values, const Value& value)
 {
-    if (Value* present = find_in(values, name_in_list(value));
+    if (Value* present = find_by_name(values, sort_key(value));
         present != nullptr)
     {
         *present = value;
         return;
     }
-    values.insert(place_of(values, name_in_list(value)), value);
+    values.insert(lower_bound_of(values, sort_key(value)), value);
 }
 
 // One operation on its way into the configuration.
-struct application
+struct operation_context
 {
     configuration& target;
     const operation& value;
@@ -70,99 +70,102 @@
     findings& found;
 };
 
-void report(application& step, const char* field, std::string message)
+void report_finding(
+    operation_context& context, const char* field, std::string message)
 {
-    add_finding(step.found, step.place + "/" + field, std::move(message));
+    add_finding(context.found, context.place + "/" + field, std::move(message));
 }
 
 template <class Value>
-void remove_from(std::vector<Value>& values, application& step)
+void remove_by_name(std::vector<Value>& values, operation_context& context)
 {
-    if (find_in(values, step.value.name) == nullptr)
+    if (find_by_name(values, context.value.name) == nullptr)
     {
-        report(step, "name", "there is none of this name");
+        report_finding(context, "name", "there is none of this name");
         return;
     }
-    values.erase(place_of(values, step.value.name));
+    values.erase(lower_bound_of(values, context.value.name));
 }
 
-void put_workspace(application& step)
+void put_workspace(operation_context& context)
 {
-    const workspace& added = step.value.workspace;
-    for (const auto& other : step.target.workspaces)
+    const workspace& added = context.value.workspace;
+    for (const auto& other : context.target.workspaces)
     {
         if (other.name != added.name &&
             workspace_id_of(other.name) == workspace_id_of(added.name))
         {
-            report(
-                step, "name",
+            report_finding(
+                context, "name",
                 "has the same id as workspace " + other.name +
                     "; choose another name");
         }
     }
-    put_in(step.target.workspaces, added);
+    insert_or_replace(context.target.workspaces, added);
 }
 
-void remove_workspace(application& step)
+void remove_workspace(operation_context& context)
 {
-    for (const auto& key : step.target.keys)
+    for (const auto& key : context.target.keys)
     {
-        if (key.workspace == step.value.name && !key.withdrawn)
+        if (key.workspace == context.value.name && !key.withdrawn)
         {
-            report(
-                step, "name",
+            report_finding(
+                context, "name",
                 "still has key " + key.id + ", which must be withdrawn first");
         }
     }
-    remove_from(step.target.workspaces, step);
+    remove_by_name(context.target.workspaces, context);
     std::erase_if(
-        step.target.keys,
+        context.target.keys,
         [&](const workspace_key& key)
         {
-            return key.workspace == step.value.name && key.withdrawn;
+            return key.workspace == context.value.name && key.withdrawn;
         });
 }
 
-void put_key(application& step)
+void put_key(operation_context& context)
 {
-    workspace_key added = step.value.key;
+    workspace_key added = context.value.key;
     added.withdrawn = false;
-    if (find_in(step.target.workspaces, added.workspace) == nullptr)
+    if (find_by_name(context.target.workspaces, added.workspace) == nullptr)
     {
-        report(step, "workspace", "there is no workspace of this name");
+        report_finding(
+            context, "workspace", "there is no workspace of this name");
     }
-    const workspace_key* present = find_in(step.target.keys, added.id);
+    const workspace_key* present = find_by_name(context.target.keys, added.id);
     if (present == nullptr)
     {
-        put_in(step.target.keys, added);
+        insert_or_replace(context.target.keys, added);
         return;
     }
     if (present->withdrawn)
     {
-        report(step, "id", "was withdrawn; an id is not used again");
+        report_finding(context, "id", "was withdrawn; an id is not used again");
         return;
     }
     if (!(*present == added))
     {
-        report(step, "id", "there is another key with this id");
+        report_finding(context, "id", "there is another key with this id");
     }
 }
 
-void withdraw_key(application& step)
+void withdraw_key(operation_context& context)
 {
-    workspace_key* present = find_in(step.target.keys, step.value.name);
+    workspace_key* present =
+        find_by_name(context.target.keys, context.value.name);
     if (present == nullptr)
     {
-        report(step, "id", "there is no key with this id");
+        report_finding(context, "id", "there is no key with this id");
         return;
     }
     present->withdrawn = true;
 }
 
-void put_route(application& step)
+void put_route(operation_context& context)
 {
-    const route& added = step.value.route;
-    for (const auto& other : step.target.routes)
+    const route& added = context.value.route;
+    for (const auto& other : context.target.routes)
     {
         if (other.name == added.name)
         {
@@ -171,66 +174,66 @@
         if (other.method == added.method &&
             other.path_prefix == added.path_prefix)
         {
-            report(
-                step, "path_prefix",
+            report_finding(
+                context, "path_prefix",
                 "route " + other.name + " has the same method and prefix");
         }
         if (other.service != added.service &&
             service_id_of(other.service) == service_id_of(added.service))
         {
-            report(
-                step, "service",
+            report_finding(
+                context, "service",
                 "has the same id as service " + other.service +
                     "; choose another name");
         }
     }
-    put_in(step.target.routes, added);
+    insert_or_replace(context.target.routes, added);
 }
 
-void put_data_centre(application& step)
+void put_data_centre(operation_context& context)
 {
-    const data_centre& added = step.value.data_centre;
-    for (const auto& other : step.target.data_centres)
+    const data_centre& added = context.value.data_centre;
+    for (const auto& other : context.target.data_centres)
     {
         if (other.name != added.name &&
             data_centre_id_of(other.name) == data_centre_id_of(added.name))
         {
-            report(
-                step, "name",
+            report_finding(
+                context, "name",
                 "has the same id as data centre " + other.name +
                     "; choose another name");
         }
     }
-    put_in(step.target.data_centres, added);
+    insert_or_replace(context.target.data_centres, added);
 }
 
-void apply_one(application& step)
+void apply_operation(operation_context& context)
 {
-    switch (step.value.kind)
+    switch (context.value.kind)
     {
     case operation_kind::put_workspace:
-        put_workspace(step);
+        put_workspace(context);
         return;
     case operation_kind::remove_workspace:
-        remove_workspace(step);
+        remove_workspace(context);
         return;
     case operation_kind::put_key:
-        put_key(step);
+        put_key(context);
         return;
     case operation_kind::withdraw_key:
-        withdraw_key(step);
+        withdraw_key(context);
         return;
     case operation_kind::put_route:
-        put_route(step);
+        put_route(context);
         return;
     case operation_kind::remove_route:
-        remove_from(step.target.routes, step);
+        remove_by_name(context.target.routes, context);
         return;
     case operation_kind::put_data_centre:
-        put_data_centre(step);
+        put_data_centre(context);
         return;
     case operation_kind::remove_data_centre:
-        remove_from(step.target.data_centres, step);
+        remove_by_name(context.target.data_centres, context);
         return;
     }
 }
@@ -244,10 +247,10 @@
     findings found;
     for (std::size_t position = 0; position < operations.size(); ++position)
     {
-        application step{
+        operation_context context{
             changed, operations[position],
             "/operations/" + std::to_string(position), found};
-        apply_one(step);
+        apply_operation(context);
     }
     if (found.empty())
     {
--- a/src/core/intent/configuration_diff.cpp
+++ b/src/core/intent/configuration_diff.cpp
@@ -47,13 +47,13 @@
            ", weight " + text_of(value.weight);
 }
 
-const std::string& name_in_list(const workspace_key& value)
+const std::string& sort_key(const workspace_key& value)
 {
     return value.id;
 }
 
 template <class Value>
-const std::string& name_in_list(const Value& value)
+const std::string& sort_key(const Value& value)
 {
     return value.name;
 }
@@ -68,18 +68,16 @@
     auto new_place = after.begin();
     while (old_place != before.end() || new_place != after.end())
     {
-        const bool only_old =
-            new_place == after.end() ||
-            (old_place != before.end() &&
-             name_in_list(*old_place) < name_in_list(*new_place));
+        const bool only_old = new_place == after.end() ||
+                              (old_place != before.end() &&
+                               sort_key(*old_place) < sort_key(*new_place));
         if (only_old)
         {
             lines.push_back("- " + describe(*old_place++));
             continue;
         }
-        const bool only_new =
-            old_place == before.end() ||
-            name_in_list(*new_place) < name_in_list(*old_place);
+        const bool only_new = old_place == before.end() ||
+                              sort_key(*new_place) < sort_key(*old_place);
         if (only_new)
         {
             lines.push_back("+ " + describe(*new_place++));
--- a/src/core/intent/configuration_json.cpp
+++ b/src/core/intent/configuration_json.cpp
@@ -123,7 +123,7 @@
         }
         json_reader inner{&item.get_object(), place, reader.found, {}};
         values.push_back(read(inner));
-        finish_reading(inner);
+        report_unread_fields(inner);
     }
 }
 
@@ -183,7 +183,7 @@
             "must be 64 hexadecimal digits");
     }
     value.digest = digest.value_or(key_digest{});
-    value.withdrawn = read_flag(reader, "withdrawn", false);
+    value.withdrawn = read_bool(reader, "withdrawn", false);
     return value;
 }
 
@@ -195,8 +195,8 @@
     value.path_prefix = read_path(reader);
     value.service = read_name(reader, "service");
     value.priority = read_priority(reader);
-    value.open = read_flag(reader, "open", false);
-    value.never_repeat = read_flag(reader, "never_repeat", false);
+    value.open = read_bool(reader, "open", false);
+    value.never_repeat = read_bool(reader, "never_repeat", false);
     value.retry_allowance = static_cast<std::uint16_t>(read_integer(
         reader, "retry_allowance", 0, max_retry_allowance,
         default_retry_allowance));
@@ -287,7 +287,7 @@
     read_list(reader, "keys", &read_key, value.keys);
     read_list(reader, "routes", &read_route, value.routes);
     read_list(reader, "data_centres", &read_data_centre, value.data_centres);
-    finish_reading(reader);
+    report_unread_fields(reader);
     if (found.size() != before)
     {
         return std::nullopt;
--- a/src/core/intent/json_reader.cpp
+++ b/src/core/intent/json_reader.cpp
@@ -107,15 +107,15 @@
     }
     const double number =
         value->is_number() ? value->to_number<double>() : std::nan("");
-    const bool fits =
-        std::isfinite(number) && number <= range.highest &&
-        (range.above_lowest ? number > range.lowest : number >= range.lowest);
+    const bool fits = std::isfinite(number) && number <= range.highest &&
+                      (range.excludes_lowest ? number > range.lowest
+                                             : number >= range.lowest);
     if (!fits)
     {
         add_finding(
             *reader.found, json_place(reader, field),
             "must be a number " +
-                std::string(range.above_lowest ? "above " : "from ") +
+                std::string(range.excludes_lowest ? "above " : "from ") +
                 text_of(range.lowest) + " to " + text_of(range.highest));
         return range.highest;
     }
@@ -124,12 +124,12 @@
 
 std::uint64_t read_integer(
     json_reader& reader, std::string_view field, std::uint64_t lowest,
-    std::uint64_t highest, std::uint64_t otherwise)
+    std::uint64_t highest, std::uint64_t fallback)
 {
     const auto* value = read_field(reader, field, false);
     if (value == nullptr)
     {
-        return otherwise;
+        return fallback;
     }
     boost::json::error_code error;
     const auto number = value->is_number()
@@ -141,28 +141,28 @@
             *reader.found, json_place(reader, field),
             "must be a whole number from " + std::to_string(lowest) + " to " +
                 std::to_string(highest));
-        return otherwise;
+        return fallback;
     }
     return number;
 }
 
-bool read_flag(json_reader& reader, std::string_view field, bool otherwise)
+bool read_bool(json_reader& reader, std::string_view field, bool fallback)
 {
     const auto* value = read_field(reader, field, false);
     if (value == nullptr)
     {
-        return otherwise;
+        return fallback;
     }
     if (!value->is_bool())
     {
         add_finding(
             *reader.found, json_place(reader, field), "must be true or false");
-        return otherwise;
+        return fallback;
     }
     return value->get_bool();
 }
 
-void finish_reading(json_reader& reader)
+void report_unread_fields(json_reader& reader)
 {
     for (const auto& item : *reader.object)
     {
--- a/src/core/intent/json_reader.hpp
+++ b/src/core/intent/json_reader.hpp
@@ -30,10 +30,10 @@
     double lowest = 0.0;
     double highest = 0.0;
     // The lowest value itself is outside.
-    bool above_lowest = false;
+    bool excludes_lowest = false;
 };
 
-// Parses a text whose root is an object; a finding otherwise.
+// Parses a text whose root is an object; a finding fallback.
 [[nodiscard]] bool parse_json_object(
     std::string_view text, boost::json::value& value, findings& found);
 
@@ -50,11 +50,11 @@
     json_reader& reader, std::string_view field, const number_range& range);
 [[nodiscard]] std::uint64_t read_integer(
     json_reader& reader, std::string_view field, std::uint64_t lowest,
-    std::uint64_t highest, std::uint64_t otherwise);
+    std::uint64_t highest, std::uint64_t fallback);
 [[nodiscard]] bool
-read_flag(json_reader& reader, std::string_view field, bool otherwise);
+read_bool(json_reader& reader, std::string_view field, bool fallback);
 
 // Reports the fields that were not read.
-void finish_reading(json_reader& reader);
+void report_unread_fields(json_reader& reader);
 
 } // namespace cyclamenhold
--- a/src/core/intent/operations.cpp
+++ b/src/core/intent/operations.cpp
@@ -48,7 +48,7 @@
         read.name = read_name(reader, "name");
         break;
     }
-    finish_reading(reader);
+    report_unread_fields(reader);
     return read;
 }
 
@@ -158,7 +158,7 @@
             add_finding(parsed.found, "/operations", "must be a list");
         }
     }
-    finish_reading(reader);
+    report_unread_fields(reader);
     return parsed;
 }
 
--- a/src/core/intent/plan.cpp
+++ b/src/core/intent/plan.cpp
@@ -85,14 +85,14 @@
         return planned;
     }
     planned.diff = diff_lines(present, changed);
-    planned.made.base_revision = present.revision;
-    planned.made.operation_id = std::move(operation_id);
-    planned.made.operations = to_json(parsed.operations);
-    planned.made.expires_at_ms = wall_clock_ms + plan_lifetime_ms;
+    planned.new_plan.base_revision = present.revision;
+    planned.new_plan.operation_id = std::move(operation_id);
+    planned.new_plan.operations = to_json(parsed.operations);
+    planned.new_plan.expires_at_ms = wall_clock_ms + plan_lifetime_ms;
     return planned;
 }
 
-std::string seal_plan(const plan& value, std::string_view fleet_secret)
+std::string sign_plan(const plan& value, std::string_view fleet_secret)
 {
     const boost::json::object object{
         {"base_revision", value.base_revision},
@@ -104,7 +104,7 @@
            absl::WebSafeBase64Escape(mac_of(payload, fleet_secret));
 }
 
-absl::StatusOr<plan> open_plan(
+absl::StatusOr<plan> verify_plan(
     std::string_view token, std::string_view fleet_secret,
     std::uint64_t wall_clock_ms)
 {
--- a/src/core/intent/plan.hpp
+++ b/src/core/intent/plan.hpp
@@ -32,7 +32,7 @@
 {
     // When there are any, there is no plan.
     findings found;
-    plan made;
+    plan new_plan;
     // A line a change, for people.
     std::vector<std::string> diff;
 };
@@ -46,12 +46,12 @@
 
 // The plan as a token: base64url of its JSON, a dot, base64url of its MAC.
 [[nodiscard]] std::string
-seal_plan(const plan& value, std::string_view fleet_secret);
+sign_plan(const plan& value, std::string_view fleet_secret);
 
 // Reads a token back. invalid_argument for one that is malformed,
 // permission_denied when its MAC is wrong, deadline_exceeded when it has
 // expired.
-[[nodiscard]] absl::StatusOr<plan> open_plan(
+[[nodiscard]] absl::StatusOr<plan> verify_plan(
     std::string_view token, std::string_view fleet_secret,
     std::uint64_t wall_clock_ms);
 
--- a/src/core/node/control.cpp
+++ b/src/core/node/control.cpp
@@ -49,7 +49,7 @@
     random_source& random, control_actions& actions)
 {
     state.wall_clock_ms = wall_clock_ms;
-    share_with_members(state.chain, state.membership);
+    publish_to_membership(state.chain, state.membership);
     membership_tick(state.membership, now, random, actions);
     if (reads_documents(state.document))
     {
--- a/tests/core/configuration_test.cpp
+++ b/tests/core/configuration_test.cpp
@@ -425,7 +425,7 @@
         apply_result::applied);
     EXPECT_EQ(
         apply_change(state, first, time_point{1s}, actions),
-        apply_result::known);
+        apply_result::already_applied);
     EXPECT_EQ(state.current->revision, 2U);
 }
 
--- a/tests/core/intent_test.cpp
+++ b/tests/core/intent_test.cpp
@@ -56,14 +56,14 @@
 
 const configuration& sample()
 {
-    static const configuration made = apply_all(
+    static const configuration new_plan = apply_all(
         {}, put_workspace("school", 10) + "," + put_key("k1", "school") + "," +
                 R"({"op":"put-route","name":"book","method":"POST",
                     "path_prefix":"/book","service":"booking",
                     "priority":"critical","never_repeat":true},
                    {"op":"put-data-centre","name":"brno","region":"moravia",
                     "weight":2.5})");
-    return made;
+    return new_plan;
 }
 
 TEST(intent, operations_are_read_and_applied)
@@ -154,31 +154,33 @@
         planned.diff, (std::vector<std::string>{
                           "- workspace school: rate 10, burst 20",
                           "+ workspace school: rate 30, burst 20"}));
-    const std::string token = seal_plan(planned.made, "secret");
+    const std::string token = sign_plan(planned.new_plan, "secret");
     {
         SCOPED_TRACE("any node that knows the secret can open it");
-        const auto opened = open_plan(token, "secret", 2000);
+        const auto opened = verify_plan(token, "secret", 2000);
         ASSERT_TRUE(opened.ok());
         EXPECT_EQ(opened->operation_id, "op-1");
-        EXPECT_EQ(opened->operations, planned.made.operations);
+        EXPECT_EQ(opened->operations, planned.new_plan.operations);
     }
     {
         SCOPED_TRACE("not after its time");
         EXPECT_EQ(
-            open_plan(token, "secret", 1000 + plan_lifetime_ms).status().code(),
+            verify_plan(token, "secret", 1000 + plan_lifetime_ms)
+                .status()
+                .code(),
             absl::StatusCode::kDeadlineExceeded);
     }
     {
         SCOPED_TRACE("and not when anything was altered");
-        EXPECT_FALSE(open_plan(token, "other", 2000).ok());
+        EXPECT_FALSE(verify_plan(token, "other", 2000).ok());
         for (std::size_t place = 0; place < token.size(); place += 7)
         {
             std::string altered = token;
             altered[place] = altered[place] == 'A' ? 'B' : 'A';
-            EXPECT_FALSE(open_plan(altered, "secret", 2000).ok()) << place;
+            EXPECT_FALSE(verify_plan(altered, "secret", 2000).ok()) << place;
         }
-        EXPECT_FALSE(open_plan("", "secret", 2000).ok());
-        EXPECT_FALSE(open_plan(".", "secret", 2000).ok());
+        EXPECT_FALSE(verify_plan("", "secret", 2000).ok());
+        EXPECT_FALSE(verify_plan(".", "secret", 2000).ok());
     }
 }
 
--- a/tests/support/fake_fleet.hpp
+++ b/tests/support/fake_fleet.hpp
@@ -225,7 +225,7 @@
             node.events.push_back(std::move(happened));
         }
     }
-    share_with_members(*node.chain, *node.membership);
+    publish_to_membership(*node.chain, *node.membership);
     schedule_wake(fleet, place);
 }
 
