--- a/src/core/configuration/chain.cpp
+++ b/src/core/configuration/chain.cpp
@@ -11,10 +11,10 @@
 namespace
 {
 
-// Longer than any call's timeout, by which it should have been answered.
+// Longer than the timeout of any call, so that only lost replies expire.
 constexpr duration call_expiry = 60s;
 
-// Takes calls that were never answered for failed.
+// Fails the calls that have had no reply until their expiry.
 void expire_calls(
     chain_state& state, const membership_state& members, time_point now,
     random_source& random, control_actions& actions)
@@ -46,9 +46,9 @@
     call.client = client;
     call.call_id = state.next_call++;
     call.operation = operation;
-    chain_call& made = state.calls[call.call_id];
-    made = purpose;
-    made.expires_at = state.last_tick + call_expiry;
+    chain_call& added = state.calls[call.call_id];
+    added = purpose;
+    added.expires_at = state.last_tick + call_expiry;
     actions.platform_calls.push_back(std::move(call));
     return actions.platform_calls.back();
 }
--- a/src/core/configuration/chain.hpp
+++ b/src/core/configuration/chain.hpp
@@ -1,6 +1,7 @@
-// The chain of accepted configuration changes: read from the platform by a few
-// watchers, learned from peers by all others, applied in order and only
-// forward. Runs on the control thread only.
+// The chain of accepted configuration changes. A few watchers in each data
+// centre read it from the platform, all other nodes receive it from peers.
+// Changes are applied in order; the revision never decreases. Runs on the
+// control thread only.
 #pragma once
 
 #include "core/base/findings.hpp"
@@ -20,19 +21,19 @@
 namespace cyclamenhold
 {
 
-// Names a commit that the intent API asked for.
+// Identifies a commit requested through the intent API.
 using commit_token = std::uint64_t;
 
 enum class commit_status : std::uint8_t
 {
-    // In the chain at `revision`.
+    // The change is in the chain at `revision`.
     committed,
-    // Another change took the revision; `detail` says which.
+    // Another change has taken the revision; `detail` describes it.
     conflict,
-    // The platform did not answer; the change may still appear. Asking again
-    // with the same operation id is safe.
+    // The platform did not answer; the change may still appear in the chain.
+    // It is safe to retry with the same operation id.
     unknown,
-    // The change does not fit the present configuration.
+    // The change cannot be applied to the current configuration.
     invalid
 };
 
@@ -50,20 +51,20 @@
     data_centre_id data_centre = data_centre_id::none;
 };
 
-// One accepted change.
+// One change in the chain.
 struct chain_change
 {
     std::uint64_t revision = 0;
     std::string operation_id;
-    // The hash of the chain up to the change before; ties a change to its
-    // predecessors, so that a chain cannot fork unseen.
+    // The hash of the chain before this change. It covers all predecessors,
+    // so that a fork of the chain is detected.
     std::uint64_t previous = 0;
-    // The JSON text of the operations.
+    // The operations as JSON text.
     std::string operations;
     bool operator==(const chain_change&) const = default;
 };
 
-// What an outstanding platform call is for.
+// The purpose of an outstanding platform call.
 enum class chain_call_kind : std::uint8_t
 {
     read_change,
@@ -82,20 +83,21 @@
 struct chain_call
 {
     chain_call_kind kind = chain_call_kind::read_change;
-    // Of commit calls; of read_snapshot_part, the part.
+    // The commit, or the part number for read_snapshot_part.
     commit_token token = 0;
-    // When a call that was never answered is given up.
+    // When a call without a reply is considered failed.
     time_point expires_at{};
 };
 
 enum class commit_step : std::uint8_t
 {
-    // Reads changes until the base revision is in force here.
+    // Reads changes until this node has applied the base revision.
     catching_up,
-    // Makes sure that the base is still in the platform's chain.
+    // Checks that the base is still stored in the platform.
     checking,
     writing,
-    // Others have gone on from the base: reads what took the revision.
+    // The current revision is past the base: reads the change that took the
+    // revision.
     resolving
 };
 
@@ -104,14 +106,14 @@
     chain_change change;
     commit_step step = commit_step::catching_up;
     bool in_flight = false;
-    // A write was sent, so that the change may be in the chain.
+    // A write was sent; the change may be in the chain.
     bool maybe_written = false;
     time_point deadline{};
     time_point retry_at{};
     std::uint32_t failures = 0;
 };
 
-// Where the snapshot of a configuration is found in the platform.
+// Describes a snapshot whose parts are stored in the platform.
 struct snapshot_head
 {
     std::uint64_t revision = 0;
@@ -119,7 +121,7 @@
     std::uint32_t parts = 0;
 };
 
-// A snapshot on its way in, from the platform or from a peer.
+// A snapshot that is being received from the platform or from a peer.
 struct incoming_snapshot
 {
     snapshot_head head;
@@ -127,7 +129,7 @@
     std::vector<std::string> parts;
 };
 
-// A snapshot on its way to the platform.
+// A snapshot that is being written to the platform.
 struct outgoing_snapshot
 {
     snapshot_head head;
@@ -137,7 +139,8 @@
     std::uint64_t present_version = 0;
 };
 
-// The platform as the members that watch it for their data centre use it.
+// Reading and watching the chain in the platform, done by the watchers of a
+// data centre.
 struct chain_watch
 {
     bool is_watcher = false;
@@ -147,22 +150,22 @@
     bool watching = false;
     time_point next_watch_at{};
     std::uint32_t failures = 0;
-    // The platform's revision up to which no change is missing here.
+    // The platform's revision up to which this node has seen all changes.
     std::uint64_t platform_revision = 0;
-    // The snapshot is looked for in one cycle of reads out of several.
+    // Cycles of reads so far; only some of them check for a newer snapshot.
     std::uint32_t read_cycles = 0;
     bool is_platform_available = true;
     std::optional<incoming_snapshot> snapshot;
 };
 
-// The maintenance of snapshots in the platform.
+// Writes snapshots to the platform and deletes what they replace.
 struct snapshot_maintenance
 {
     std::uint64_t snapshot_revision = 0;
     time_point next_snapshot_at{};
     bool busy = false;
     std::optional<outgoing_snapshot> snapshot;
-    // Keys that are no longer needed.
+    // Keys of the platform that are to be deleted.
     std::vector<std::string> obsolete;
 };
 
@@ -175,23 +178,23 @@
 struct chain_state
 {
     chain_settings settings;
-    // When `current` came into force.
+    // When `current` was applied.
     time_point applied_at{};
-    // When this node itself last learned from the platform that it has the
-    // newest revision; the zero point when never.
+    // When this node itself last read from the platform that it has the
+    // newest revision; zero if never.
     time_point platform_read_at{};
     // Never null; revision 0 is the empty configuration.
     std::shared_ptr<const configuration> current =
         std::make_shared<const configuration>();
-    // Finished commits, to be taken by the caller.
+    // Finished commits; the caller removes them.
     std::vector<commit_result> results;
 
-    // What follows is used by the configuration code only.
+    // The fields below are private to the configuration code.
     // The hash of the chain up to `current`.
     std::uint64_t chain_hash = 0;
-    // The newest changes, for peers that are a little behind.
+    // The newest changes, sent to peers that are a few revisions behind.
     std::deque<chain_change> recent;
-    // The last revision that could not be applied.
+    // The last revision that was rejected.
     std::uint64_t rejected_revision = 0;
     chain_watch watch;
     snapshot_maintenance maintenance;
@@ -200,7 +203,7 @@
     std::map<commit_token, pending_commit> commits;
     std::map<std::uint64_t, chain_call> calls;
     std::uint64_t next_call = 1;
-    // A revision that has not yet been told to peers.
+    // The newest revision that was advertised to peers.
     std::uint64_t advertised_revision = 0;
     time_point last_tick{};
 };
@@ -221,16 +224,16 @@
     control_actions& actions);
 [[nodiscard]] time_point chain_due(const chain_state& state);
 
-// Appends a change, given as the JSON text of its operations
-// (src/core/intent), after `base_revision`. `operation_id` makes it idempotent.
-// The result appears in `state.results`.
+// Starts to append a change after `base_revision`. `operations` is the JSON
+// text of its operations (src/core/intent); `operation_id` makes the commit
+// idempotent. The result is added to `state.results`.
 void chain_commit(
     chain_state& state, commit_token token, std::uint64_t base_revision,
     const std::string& operation_id, const std::string& operations,
     time_point now, random_source& random, control_actions& actions);
 
-// Hands the revision in force, and when the platform was read, to the
-// membership, which tells them to others with each message.
+// Copies the current revision and the time of the last platform read to the
+// membership, which advertises them to peers with each message.
 void publish_to_membership(const chain_state& state, membership_state& members);
 
 } // namespace cyclamenhold
--- a/src/core/configuration/chain_apply.cpp
+++ b/src/core/configuration/chain_apply.cpp
@@ -21,7 +21,7 @@
     actions.events.push_back(std::move(happened));
 }
 
-// Reported once a revision, however often it is heard of.
+// Emits one event per rejected revision, however often it is received.
 apply_result reject(
     chain_state& state, std::uint64_t revision, const std::string& reason,
     control_actions& actions)
@@ -90,8 +90,8 @@
     if (change.previous != state.chain_hash)
     {
         return reject(
-            state, change.revision, "does not follow from what is in force",
-            actions);
+            state, change.revision,
+            "its previous hash does not match the current revision", actions);
     }
     const auto parsed = parse_operations(change.operations);
     if (!parsed.found.empty())
--- a/src/core/configuration/chain_commits.cpp
+++ b/src/core/configuration/chain_commits.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// How long a commit is tried.
+// A commit without a result by then ends as unknown.
 constexpr duration commit_timeout = 8s;
 constexpr std::size_t max_changes_described = 5;
 
@@ -42,13 +42,14 @@
     }
     if (text.empty())
     {
-        text = "revision " + std::to_string(state.current->revision) +
-               " is in force";
+        text = "the current revision is " +
+               std::to_string(state.current->revision);
     }
     return text;
 }
 
-// Checks a commit against what is remembered. True when it is settled by that.
+// Finishes a commit whose result follows from the recent changes. Returns true
+// if it did.
 bool finish_if_decided(
     chain_state& state, commit_token token, pending_commit& pending)
 {
@@ -119,8 +120,8 @@
     pending.maybe_written = true;
 }
 
-// Does the next step of a commit that waits for no answer.
-void step(
+// Starts the next call of a commit that has none in flight.
+void advance_commit(
     chain_state& state, commit_token token, pending_commit& pending,
     control_actions& actions)
 {
@@ -152,8 +153,9 @@
     }
     if (pending.step == commit_step::checking)
     {
-        // Old changes are deleted after a while; a base that is gone must not
-        // be built upon.
+        // Old changes are deleted from the platform. Without its base, the key
+        // of the next revision may be absent only because it was deleted, so
+        // a write could succeed wrongly.
         read_key(
             state, token,
             base == 0 ? std::string(snapshot_head_key) : change_key(base),
@@ -188,14 +190,15 @@
     {
         finish(
             state, token, commit_status::conflict, state.current->revision,
-            "many changes were made since; plan again");
+            "the base revision is too old to check; make a new plan");
         return;
     }
     pending.step = commit_step::writing;
-    step(state, token, pending, actions);
+    advance_commit(state, token, pending, actions);
 }
 
-// Another writer, or an earlier attempt of this one, took the revision.
+// Finishes a commit whose revision is taken by another change, or by an earlier
+// write of this same change.
 void resolve_conflict(
     chain_state& state, commit_token token, const platform_reply& reply,
     time_point now, control_actions& actions)
@@ -208,7 +211,7 @@
     {
         finish(
             state, token, commit_status::conflict, state.current->revision,
-            "many changes were made since; plan again");
+            "the base revision is too old to check; make a new plan");
         return;
     }
     apply_change(state, *present, now, actions);
@@ -250,7 +253,7 @@
     pending.change = change;
     pending.deadline = now + commit_timeout;
     pending.retry_at = now;
-    step(state, token, pending, actions);
+    advance_commit(state, token, pending, actions);
 }
 
 void tick_commits(chain_state& state, time_point now, control_actions& actions)
@@ -269,13 +272,13 @@
                 state, token, commit_status::unknown, 0,
                 pending.maybe_written
                     ? "the platform did not answer; the change may be in the "
-                      "chain, ask again"
+                      "chain, retry it"
                     : "the platform did not answer; nothing was written");
             continue;
         }
         if (!pending.in_flight && now >= pending.retry_at)
         {
-            step(state, token, pending, actions);
+            advance_commit(state, token, pending, actions);
         }
     }
 }
@@ -334,7 +337,7 @@
         retry_later(pending, now, random);
         return;
     }
-    step(state, call.token, pending, actions);
+    advance_commit(state, call.token, pending, actions);
 }
 
 } // namespace cyclamenhold
--- a/src/core/configuration/chain_commits.hpp
+++ b/src/core/configuration/chain_commits.hpp
@@ -1,6 +1,7 @@
-// Appending to the chain: the change is written under the next revision's key,
-// which must be absent. A lost answer is settled by writing again: the key then
-// holds either this change, by its operation id, or another one.
+// Appends changes to the chain. A change is written under the key of the next
+// revision, by a compare-and-swap that expects no value. After a lost reply the
+// write is repeated: the key then holds this change, which is recognised by its
+// operation id, or another one.
 #pragma once
 
 #include "core/configuration/chain_apply.hpp"
--- a/src/core/configuration/chain_format.cpp
+++ b/src/core/configuration/chain_format.cpp
@@ -172,7 +172,8 @@
 namespace
 {
 
-// Hashes use all 64 bits, more than a number in JSON is sure to keep.
+// Hashes are stored as strings: they use all 64 bits, and JSON numbers may lose
+// precision above 53.
 std::uint64_t read_hash(json_reader& reader, std::string_view field)
 {
     const std::string text = read_string(reader, field);
--- a/src/core/configuration/chain_peers.cpp
+++ b/src/core/configuration/chain_peers.cpp
@@ -14,11 +14,11 @@
 
 constexpr std::size_t local_peers_per_revision = 3;
 constexpr double remote_messages_per_revision = 24.0;
-// A change up to this size travels inside the message that tells of it.
+// Bytes; a change up to this size is sent with the advertised revision.
 constexpr std::size_t max_change_in_datagram = 900;
 constexpr std::size_t max_changes_message_size = 200'000;
 constexpr duration pull_timeout = 1s;
-// Snapshots of many parts take longer.
+// From each received part; a snapshot may have many.
 constexpr duration snapshot_timeout = 5s;
 
 void send(
@@ -43,7 +43,7 @@
     send(to, message, transport::stream, actions);
 }
 
-// A random member that is known to have a newer revision.
+// A random member that has reported a newer revision.
 host_id find_source(
     const chain_state& state, const membership_state& members,
     random_source& random)
@@ -117,7 +117,7 @@
     chain_state& state, host_id from, const chain_message& message,
     time_point now, control_actions& actions)
 {
-    // Only what was asked for, so that no peer makes this node hold more.
+    // Only parts that this node has pulled, which bounds its memory.
     if (!state.pull.has_value() || state.pull->from != from ||
         message.snapshot.revision <= state.current->revision)
     {
@@ -193,7 +193,7 @@
     {
         return;
     }
-    // After a pull in vain somebody else is asked.
+    // After a failed pull, tries another peer.
     const bool failed_before = state.pull.has_value();
     const host_id source = failed_before ? find_source(state, members, random)
                                          : members.highest_revision_host;
--- a/src/core/configuration/chain_peers.hpp
+++ b/src/core/configuration/chain_peers.hpp
@@ -1,5 +1,5 @@
-// The chain among peers: a node tells a few others of each revision that it
-// takes into force, and pulls what it lacks from one that has it.
+// Spreads the chain among peers: a node advertises each revision that it
+// applies to a few peers, and pulls missing changes from a peer that is ahead.
 #pragma once
 
 #include "core/configuration/chain_apply.hpp"
@@ -7,12 +7,12 @@
 namespace cyclamenhold
 {
 
-// Tells a few peers of the revision in force, if that was not done yet.
+// Sends the current revision to a few peers, once per revision.
 void advertise_revision(
     chain_state& state, const membership_state& members, random_source& random,
     control_actions& actions);
 
-// Pulls from a peer when one is known to be ahead.
+// Pulls from a peer if one has reported a newer revision.
 void pull_if_behind(
     chain_state& state, const membership_state& members, time_point now,
     random_source& random, control_actions& actions);
--- a/src/core/configuration/chain_watch.cpp
+++ b/src/core/configuration/chain_watch.cpp
@@ -11,17 +11,17 @@
 constexpr std::string_view watcher_salt = "configuration";
 constexpr duration first_read_delay = 1s;
 constexpr duration watcher_check_interval = 1s;
-// Watches may miss changes, so the chain is read now and then besides.
+// Watches may miss changes, so the chain is also read periodically.
 constexpr duration read_interval = 5s;
 constexpr duration watch_time = 20s;
 constexpr duration watch_timeout = 23s;
 constexpr std::uint32_t max_changes_per_watch = 16;
-// One cycle of reads in so many looks for a snapshot first.
+// One of this many cycles of reads checks for a newer snapshot first.
 constexpr std::uint32_t cycles_per_snapshot_check = 6;
 constexpr duration shortest_backoff = 500ms;
 constexpr duration longest_backoff = 15s;
 
-// A random time in [span / 2, span * 3 / 2).
+// A random duration in [span / 2, span * 3 / 2).
 duration jittered(duration span, random_source& random)
 {
     return span / 2 + from_seconds(to_seconds(span) * random_fraction(random));
@@ -116,7 +116,8 @@
            reply.status == platform_status::not_found;
 }
 
-// The newest change is in force here, as of the platform's revision.
+// This node has applied the newest change, as of the platform's revision in
+// `reply`.
 void record_up_to_date(
     chain_state& state, const platform_reply& reply, time_point now,
     random_source& random)
@@ -182,7 +183,7 @@
     auto& snapshot = state.watch.snapshot;
     if (!snapshot.has_value() || reply.entries.empty())
     {
-        // Replaced meanwhile; the head is read again in the next cycle.
+        // The snapshot was replaced; the next cycle reads the head again.
         snapshot.reset();
         state.watch.read_cycles = 0;
         return;
@@ -210,7 +211,7 @@
     }
     watch.failures = 0;
     record_platform_status(watch, true, actions);
-    // A short pause, so that a busy chain is not watched call by call.
+    // A short pause lets several changes arrive with one call.
     watch.next_watch_at = now + jittered(200ms, random);
     if (reply.entries.empty())
     {
@@ -220,8 +221,8 @@
     }
     for (const auto& entry : reply.entries)
     {
-        // What cannot be applied yet is read one by one, so that the watch
-        // need not answer with it again.
+        // Changes that cannot be applied yet are read one by one below, so the
+        // watch need not return them again.
         watch.platform_revision =
             std::max(watch.platform_revision, entry.version);
         if (const auto change = parse_change(entry.value); change.has_value())
@@ -246,7 +247,7 @@
 
 void start_watch(chain_state& state, time_point now, random_source& random)
 {
-    // By then most nodes know who else is there to do it.
+    // The delay lets the membership converge before watchers are determined.
     state.watch.next_watcher_check_at =
         now + jittered(first_read_delay, random);
 }
--- a/src/core/configuration/document_source.cpp
+++ b/src/core/configuration/document_source.cpp
@@ -13,15 +13,15 @@
 using wire::configuration::message_body;
 
 constexpr duration read_timeout = 1s;
-// On top of the time that a watch waits; covers a slow platform.
+// Added to the wait time of a watch, for a slow platform.
 constexpr duration watch_grace = 1'500ms;
 constexpr duration shortest_backoff = 100ms;
 constexpr duration longest_backoff = 1s;
-// A node that learns of a newer version from peers first lets its own watch
-// answer.
+// A pull starts only this long after a peer has reported a newer version, since
+// the node's own watch usually returns it first.
 constexpr duration pull_delay = 250ms;
 constexpr duration pull_timeout = 700ms;
-// The most that a peer may make this node hold.
+// Bounds the memory that a peer's snapshot can use.
 constexpr std::uint32_t max_snapshot_parts = 1'000;
 
 void emit(control_actions& actions, event_kind kind, std::string detail)
@@ -99,8 +99,8 @@
     chain.applied_at = now;
 }
 
-// Takes a document that is newer than the one in force; false when it cannot
-// be read.
+// Applies a document if it is newer than the current one. Returns false if it
+// fails to parse.
 bool apply_document(
     document_state& state, chain_state& chain, std::string_view text,
     const std::string& from, time_point now, control_actions& actions)
@@ -138,8 +138,9 @@
         from_seconds(to_seconds(bound / 2) * random_fraction(random));
 }
 
-// When the platform had nothing newer than what this answer holds. An empty
-// watch ends no sooner than it has waited.
+// The latest time at which the platform certainly had no newer version than
+// `reply` contains: the start of the call, or the end of the wait for a watch
+// that returned nothing after its full wait time.
 time_point confirmed_at(
     const document_state& state, const platform_reply& reply, time_point now)
 {
@@ -149,13 +150,13 @@
                : state.call_started_at;
 }
 
-// True when the newest version is in force here, or is one that no node can
-// read.
+// Applies the newest document of a reply that can be parsed. Returns false if
+// there is none and this node has no configuration from before.
 bool apply_entries(
     document_state& state, chain_state& chain, const platform_reply& reply,
     time_point now, control_actions& actions)
 {
-    // A watch may answer with several versions; the last one is in force.
+    // A watch may return several versions; the last one is the newest.
     for (auto entry = reply.entries.rbegin(); entry != reply.entries.rend();
          ++entry)
     {
@@ -231,7 +232,7 @@
     document_state& state, chain_state& chain, host_id from,
     const chain_message& message, time_point now, control_actions& actions)
 {
-    // Only what was asked for, so that no peer makes this node hold more.
+    // Only parts that this node has pulled, which bounds its memory.
     if (from != state.pull.from ||
         message.snapshot.revision <= chain.current->revision ||
         message.snapshot.parts > max_snapshot_parts)
@@ -320,7 +321,7 @@
     state.call_id = 0;
     if (reply.status == platform_status::history_lost)
     {
-        // What was missed shows in the document itself.
+        // Reading the document covers the missed changes.
         state.platform_revision = 0;
         state.next_call_at = now;
         return;
@@ -336,7 +337,7 @@
     record_platform_status(state, true, {}, actions);
     if (!apply_entries(state, chain, reply, now, actions))
     {
-        // There is no document yet.
+        // No document exists yet, or none that can be parsed.
         state.next_call_at = now + shortest_backoff;
         return;
     }
--- a/src/core/configuration/document_source.hpp
+++ b/src/core/configuration/document_source.hpp
@@ -1,7 +1,7 @@
-// The operators' configuration as one document in the platform, each version
-// replacing the one before: watched by every node, passed on by peers to those
-// that the platform refuses, never taken back to an older version. Runs on the
-// control thread only.
+// The operators' configuration as one document in the platform; each version
+// replaces the previous one. Every node watches the document. A node that the
+// platform refuses receives it from peers. An older version is never applied.
+// Runs on the control thread only.
 #pragma once
 
 #include "core/configuration/chain.hpp"
@@ -17,16 +17,15 @@
 
 struct document_settings
 {
-    // The platform's key that holds the document; empty where operators use
-    // intents.
+    // The platform's key of the document; empty if operators use intents.
     std::string key;
     absl::StatusOr<configuration> (*read)(
         std::string_view text, std::string_view fleet_secret) = nullptr;
     std::string fleet_secret;
-    // Taken where the document names no data centres.
+    // Used if the document has no data centres.
     std::vector<data_centre> data_centres;
-    // How long one watch waits. Each that ends proves that the configuration
-    // here is the newest.
+    // How long one watch waits. A watch that ends without a change confirms
+    // that this node has the newest configuration.
     duration watch_time = 2s;
 };
 
@@ -34,10 +33,10 @@
 {
     document_settings settings;
 
-    // What follows is used by the configuration code only.
-    // The document in force, as it was read, for peers.
+    // The fields below are private to the configuration code.
+    // The current document as it was read, sent to peers on request.
     std::string text;
-    // The call under way; zero without one.
+    // The outstanding call; zero if there is none.
     std::uint64_t call_id = 0;
     std::uint64_t last_call_id = 0;
     bool is_watch = false;
@@ -45,13 +44,13 @@
     time_point call_expires_at{};
     time_point next_call_at{};
     std::uint32_t failures = 0;
-    // Changes after this revision of the platform are watched for; zero when
+    // The watch returns changes after this revision of the platform; zero if
     // the document must be read first.
     std::uint64_t platform_revision = 0;
-    // The platform's revision of the last document that could not be read.
+    // The platform's revision of the last document that failed to parse.
     std::uint64_t rejected_version = 0;
     bool is_platform_available = true;
-    // Since when a peer is known to have a newer version.
+    // When a peer first reported a newer version; zero if none has.
     time_point behind_since{};
     chain_pull pull;
     incoming_snapshot incoming;
@@ -59,7 +58,7 @@
 
 [[nodiscard]] bool reads_documents(const document_state& state);
 
-// Each puts a newer configuration into `chain.current`.
+// Each of these replaces `chain.current` when it obtains a newer version.
 void document_start(document_state& state, chain_state& chain, time_point now);
 void document_tick(
     document_state& state, chain_state& chain, const membership_state& members,
@@ -72,8 +71,9 @@
     time_point now, random_source& random, control_actions& actions);
 [[nodiscard]] time_point document_due(const document_state& state);
 
-// When the configuration here was last known to be the newest: read by this
-// node, or by a peer that has the same version. The zero point when never.
+// When the configuration of this node was last confirmed to be the newest, by
+// its own read or by one of a peer while no peer has a newer version. Zero if
+// never.
 [[nodiscard]] time_point configuration_confirmed_at(
     const chain_state& chain, const membership_state& members);
 
--- a/src/core/configuration/model.hpp
+++ b/src/core/configuration/model.hpp
@@ -17,13 +17,13 @@
 struct workspace
 {
     std::string name;
-    // Requests a second over the whole fleet.
+    // Requests per second over the whole fleet.
     double rate = 0.0;
-    // Requests that may be admitted at once, over the whole fleet.
+    // Size of the token bucket in requests, over the whole fleet.
     double burst = 0.0;
-    // Has no rate; the two above mean nothing.
+    // No rate limit; `rate` and `burst` are ignored.
     bool unlimited = false;
-    // Goes before the priority of the routes, when given.
+    // Overrides the priority of the routes.
     std::optional<priority_class> priority = std::nullopt;
     bool operator==(const workspace&) const = default;
 };
@@ -33,8 +33,8 @@
 
 struct workspace_key
 {
-    // The public half: "cyk_<id>_<secret>". Empty for a key that is one
-    // opaque text; its digest covers all of it.
+    // The public part of "cyk_<id>_<secret>". Empty for an opaque key, whose
+    // digest covers the whole text.
     std::string id;
     std::string workspace;
     key_digest digest{};
@@ -42,7 +42,7 @@
     bool operator==(const workspace_key&) const = default;
 };
 
-// One of the services among which a route's requests are divided.
+// One of the services that share the requests of a route.
 struct weighted_service
 {
     std::string service;
@@ -53,18 +53,18 @@
 struct route
 {
     std::string name;
-    // The Host that the request names, without a port; empty for any.
+    // The Host header of the request, without a port; empty for any.
     std::string host;
     // Empty for any method.
     std::string method;
     // The longest matching prefix wins.
     std::string path_prefix;
     std::string service;
-    // Instead of `service`: each request goes to one of these, drawn by
+    // Instead of `service`: each request goes to a random one of these, by
     // weight.
     std::vector<weighted_service> split;
     priority_class priority = priority_class::normal;
-    // Runs without a key.
+    // Requests need no key.
     bool open = false;
     // The request must reach an upstream at most once.
     bool never_repeat = false;
@@ -77,23 +77,24 @@
 {
     std::string name;
     std::string region;
-    // The share of all rates, relative to the other data centres' weights.
+    // The share of all rates, relative to the weights of the other data
+    // centres.
     double weight = 1.0;
     bool operator==(const data_centre&) const = default;
 };
 
-// What operators know of a service beyond its announcements.
+// Settings of a service that its upstreams do not announce.
 struct service_settings
 {
     std::string name;
-    // Connections that each upstream accepts; zero when not given.
+    // Connections that each upstream accepts; zero if not set.
     std::uint32_t connections = 0;
-    // The path of the upstreams' health check; empty without one.
+    // The path of the upstreams' health check; empty if there is none.
     std::string health_path;
     bool operator==(const service_settings&) const = default;
 };
 
-// Bounds on what callers may send; zero keeps the node's own setting.
+// Limits for requests of callers; for a zero, the node's own setting applies.
 struct caller_limits
 {
     std::uint32_t max_header_bytes = 0;
@@ -105,7 +106,7 @@
 
 struct configuration
 {
-    // Grows with each accepted change; 0 is the empty configuration.
+    // Increases with each accepted change; 0 is the empty configuration.
     std::uint64_t revision = 0;
     std::vector<workspace> workspaces;
     std::vector<workspace_key> keys;
--- a/src/core/configuration/snapshot_maintenance.cpp
+++ b/src/core/configuration/snapshot_maintenance.cpp
@@ -10,7 +10,8 @@
 {
 
 constexpr std::string_view maintenance_salt = "configuration-snapshot";
-// Data centres write snapshots too; whoever comes first spares the others.
+// Every data centre writes snapshots. A random delay makes it likely that one
+// has finished before the others start.
 constexpr double snapshot_spread_seconds = 20.0;
 
 platform_call& add_maintenance_call(
@@ -60,7 +61,8 @@
     call.key = state.maintenance.obsolete.back();
 }
 
-// What the snapshot before the present one still needed.
+// Adds the parts of the replaced snapshot, and the changes that need not be
+// kept any longer, to the obsolete keys.
 void record_obsolete_keys(
     snapshot_maintenance& maintenance, const outgoing_snapshot& snapshot)
 {
@@ -146,7 +148,8 @@
     }
     else if (present.has_value() && present->revision != snapshot.head.revision)
     {
-        // Another one was faster; these parts belong to no head.
+        // Another node has replaced the head first; no head refers to these
+        // parts.
         for (std::uint32_t part = 0; part < snapshot.head.parts; ++part)
         {
             maintenance.obsolete.push_back(
