--- a/src/core/intent/apply_operations.cpp
+++ b/src/core/intent/apply_operations.cpp
@@ -61,7 +61,7 @@
     values.insert(lower_bound_of(values, sort_key(value)), value);
 }
 
-// One operation on its way into the configuration.
+// An operation with the configuration that it changes.
 struct operation_context
 {
     configuration& target;
@@ -81,7 +81,7 @@
 {
     if (find_by_name(values, context.value.name) == nullptr)
     {
-        report_finding(context, "name", "there is none of this name");
+        report_finding(context, "name", "no entry has this name");
         return;
     }
     values.erase(lower_bound_of(values, context.value.name));
@@ -130,8 +130,7 @@
     added.withdrawn = false;
     if (find_by_name(context.target.workspaces, added.workspace) == nullptr)
     {
-        report_finding(
-            context, "workspace", "there is no workspace of this name");
+        report_finding(context, "workspace", "no workspace has this name");
     }
     const workspace_key* present = find_by_name(context.target.keys, added.id);
     if (present == nullptr)
@@ -141,12 +140,12 @@
     }
     if (present->withdrawn)
     {
-        report_finding(context, "id", "was withdrawn; an id is not used again");
+        report_finding(context, "id", "was withdrawn; an id cannot be reused");
         return;
     }
     if (!(*present == added))
     {
-        report_finding(context, "id", "there is another key with this id");
+        report_finding(context, "id", "another key has this id");
     }
 }
 
@@ -156,7 +155,7 @@
         find_by_name(context.target.keys, context.value.name);
     if (present == nullptr)
     {
-        report_finding(context, "id", "there is no key with this id");
+        report_finding(context, "id", "no key has this id");
         return;
     }
     present->withdrawn = true;
--- a/src/core/intent/configuration_diff.cpp
+++ b/src/core/intent/configuration_diff.cpp
@@ -58,7 +58,7 @@
     return value.name;
 }
 
-// Both lists are sorted by name.
+// Both lists must be sorted by `sort_key`.
 template <class Value>
 void compare_lists(
     const std::vector<Value>& before, const std::vector<Value>& after,
--- a/src/core/intent/configuration_json.hpp
+++ b/src/core/intent/configuration_json.hpp
@@ -1,5 +1,5 @@
-// The configuration and its parts as JSON: for operators, for changes in the
-// chain and for snapshots of it.
+// Converts the configuration and its parts to and from JSON, for operators, for
+// changes in the chain and for its snapshots.
 //
 // Fields: workspace {name, rate, burst}; key {id, workspace, digest,
 // withdrawn}; route {name, method, path_prefix, service, priority, open,
@@ -17,13 +17,14 @@
 namespace cyclamenhold
 {
 
-// Each reads its fields and reports what is wrong; the result is only of use
-// when nothing was. They do not call finish_reading.
+// Each reads its fields and reports findings; the result is valid only if there
+// are none. They do not call report_unread_fields.
 [[nodiscard]] workspace read_workspace(json_reader& reader);
 [[nodiscard]] workspace_key read_key(json_reader& reader);
 [[nodiscard]] route read_route(json_reader& reader);
 [[nodiscard]] data_centre read_data_centre(json_reader& reader);
-// The name or id of something, under `field`.
+// Reads a name from `field`; only letters, digits, dots, dashes and underscores
+// are valid.
 [[nodiscard]] std::string
 read_name(json_reader& reader, std::string_view field);
 
@@ -33,14 +34,14 @@
 [[nodiscard]] boost::json::object to_json_object(const data_centre& value);
 [[nodiscard]] boost::json::object to_json_object(const configuration& value);
 
-// The whole configuration as text.
+// The whole configuration as JSON text.
 [[nodiscard]] std::string to_json(const configuration& value);
 
-// Nothing, and findings, for a text that is not a whole configuration.
+// Returns nothing, and adds findings, if the text is not a whole configuration.
 [[nodiscard]] std::optional<configuration>
 parse_configuration(std::string_view text, findings& found);
 
-// Lower-case hexadecimal.
+// Lower-case hexadecimal digits; parse_digest also accepts upper case.
 [[nodiscard]] std::string to_hex(const key_digest& digest);
 [[nodiscard]] std::optional<key_digest> parse_digest(std::string_view text);
 
--- a/src/core/intent/json_reader.cpp
+++ b/src/core/intent/json_reader.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t max_json_depth = 16;
 
-// Escapes a name for a JSON pointer.
+// Escapes a name for a JSON pointer (RFC 6901).
 std::string escape_pointer(std::string_view name)
 {
     std::string escaped;
@@ -70,7 +70,7 @@
 const boost::json::value*
 read_field(json_reader& reader, std::string_view field, bool required)
 {
-    reader.read.emplace(field);
+    reader.read_fields.emplace(field);
     const auto* value = reader.object->if_contains(
         boost::json::string_view(field.data(), field.size()));
     if (value == nullptr && required)
@@ -167,7 +167,7 @@
     for (const auto& item : *reader.object)
     {
         const std::string_view name(item.key().data(), item.key().size());
-        if (!reader.read.contains(name))
+        if (!reader.read_fields.contains(name))
         {
             add_finding(
                 *reader.found, json_place(reader, name), "is not known here");
--- a/src/core/intent/json_reader.hpp
+++ b/src/core/intent/json_reader.hpp
@@ -1,5 +1,5 @@
-// Reads the fields of JSON objects, and collects what is wrong with them,
-// each with its JSON pointer.
+// Reads the fields of JSON objects and collects findings, each with its JSON
+// pointer.
 #pragma once
 
 #include "core/base/findings.hpp"
@@ -15,32 +15,36 @@
 namespace cyclamenhold
 {
 
-// One object under reading. Fields that nobody asked for are findings too.
+// One object, and which of its fields were read. The other fields are unknown
+// and become findings.
 struct json_reader
 {
     const boost::json::object* object = nullptr;
     // The JSON pointer to the object.
     std::string place;
     findings* found = nullptr;
-    std::set<std::string, std::less<>> read;
+    std::set<std::string, std::less<>> read_fields;
 };
 
 struct number_range
 {
     double lowest = 0.0;
     double highest = 0.0;
-    // The lowest value itself is outside.
+    // The number must be greater than `lowest`.
     bool excludes_lowest = false;
 };
 
-// Parses a text whose root is an object; a finding fallback.
+// Parses a text whose root must be an object. On failure returns false and adds
+// a finding.
 [[nodiscard]] bool parse_json_object(
     std::string_view text, boost::json::value& value, findings& found);
 
+// The JSON pointer to a field of the object.
 [[nodiscard]] std::string
 json_place(const json_reader& reader, std::string_view field);
 
-// The value of a field; a finding when it must be there and is not.
+// Returns the value of a field, or null. Adds a finding if the field is
+// required and missing.
 [[nodiscard]] const boost::json::value*
 read_field(json_reader& reader, std::string_view field, bool required);
 
@@ -54,7 +58,7 @@
 [[nodiscard]] bool
 read_bool(json_reader& reader, std::string_view field, bool fallback);
 
-// Reports the fields that were not read.
+// Adds a finding for each field that was not read.
 void report_unread_fields(json_reader& reader);
 
 } // namespace cyclamenhold
--- a/src/core/intent/operations.hpp
+++ b/src/core/intent/operations.hpp
@@ -1,7 +1,7 @@
-// What operators ask for: operations on the configuration, given as
-// {"operations": [{"op": "put-workspace", ...}, ...]}. The fields beside "op"
-// are those of configuration_json.hpp; "remove-..." takes "name" and
-// "withdraw-key" takes "id".
+// Operations on the configuration that operators request, as JSON
+// {"operations": [{"op": "put-workspace", ...}, ...]}. The other fields of
+// "put-..." are those of configuration_json.hpp; "remove-..." has "name" and
+// "withdraw-key" has "id".
 #pragma once
 
 #include "core/base/findings.hpp"
@@ -43,10 +43,10 @@
 };
 
 constexpr std::size_t max_operations = 1'000;
-// Of the JSON text; leaves room for a change in one value of the platform.
+// Bytes of the JSON text; a change must fit into one value of the platform.
 constexpr std::size_t max_operations_size = 400'000;
 
-// One operation; only the part that `kind` names is of meaning.
+// One operation; only the fields of its `kind` are used.
 struct operation
 {
     operation_kind kind = operation_kind::put_workspace;
@@ -54,14 +54,14 @@
     workspace_key key;
     cyclamenhold::route route;
     cyclamenhold::data_centre data_centre;
-    // What "remove-..." removes, or the id that "withdraw-key" withdraws.
+    // The name for "remove-...", or the id for "withdraw-key".
     std::string name;
 };
 
 struct parsed_operations
 {
     std::vector<operation> operations;
-    // When there are any, the operations must not be used.
+    // If there are any, `operations` must not be used.
     findings found;
 };
 
@@ -70,19 +70,19 @@
 // The operations as the JSON text that parse_operations reads.
 [[nodiscard]] std::string to_json(const std::vector<operation>& operations);
 
-// Applies all operations in order, or none when there are findings. The lists
-// of a configuration stay sorted by name or id. The revision is left alone.
+// Applies all operations in order, or none if there are findings. Keeps the
+// lists of the configuration sorted by name or id, and the revision unchanged.
 [[nodiscard]] findings apply_operations(
     configuration& target, const std::vector<operation>& operations);
 
-// A line a change, "+ workspace a: rate 10, burst 20".
+// One line per difference, for instance "+ workspace a: rate 10, burst 20".
 [[nodiscard]] std::vector<std::string>
 diff_lines(const configuration& before, const configuration& after);
 
-// One line for all operations, "put-workspace a, withdraw-key b".
+// One line for all operations, for instance "put-workspace a, withdraw-key b".
 [[nodiscard]] std::string summary_of(const std::vector<operation>& operations);
 
-// The key ids that are withdrawn in `after` and were not in `before`.
+// The ids of keys that are withdrawn in `after` but not in `before`.
 [[nodiscard]] std::vector<std::string>
 newly_withdrawn_keys(const configuration& before, const configuration& after);
 
--- a/src/core/intent/plan.cpp
+++ b/src/core/intent/plan.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-// Keeps MACs of plans apart from all others under the same secret.
+// Domain separation: the fleet secret also authenticates other messages.
 constexpr std::string_view mac_label = "cyclamenhold plan\n";
 constexpr std::uint64_t highest_integer = std::uint64_t{1} << 62;
 constexpr std::size_t max_token_size = 1'000'000;
--- a/src/core/intent/plan.hpp
+++ b/src/core/intent/plan.hpp
@@ -1,6 +1,6 @@
-// Plans: what an operator is shown before anything changes. A plan holds all
-// that is needed to commit it and is authenticated under the fleet secret, so
-// that any node can confirm it and none has to remember it.
+// Plans show an operator the effect of a change before it is made. A plan holds
+// all that is needed to commit it and is authenticated with the fleet secret,
+// so that any node can confirm it and nodes store no plans.
 #pragma once
 
 #include "core/base/findings.hpp"
@@ -20,9 +20,9 @@
 struct plan
 {
     std::uint64_t base_revision = 0;
-    // Makes a commit idempotent; unique for each plan.
+    // Unique for each plan; makes its commit idempotent.
     std::string operation_id;
-    // The JSON text of the operations.
+    // The operations as JSON text.
     std::string operations;
     // Wall clock, milliseconds since 1970.
     std::uint64_t expires_at_ms = 0;
@@ -30,16 +30,16 @@
 
 struct planned_change
 {
-    // When there are any, there is no plan.
+    // If there are any, `new_plan` is empty.
     findings found;
     plan new_plan;
-    // A line a change, for people.
+    // One line per difference, in the format of diff_lines.
     std::vector<std::string> diff;
 };
 
 constexpr std::uint64_t plan_lifetime_ms = 15 * 60 * 1000;
 
-// Plans the operations of a JSON text against the present configuration.
+// Plans the operations of a JSON text on the current configuration.
 [[nodiscard]] planned_change plan_change(
     const configuration& present, std::string_view operations_text,
     std::string operation_id, std::uint64_t wall_clock_ms);
@@ -48,9 +48,8 @@
 [[nodiscard]] std::string
 sign_plan(const plan& value, std::string_view fleet_secret);
 
-// Reads a token back. invalid_argument for one that is malformed,
-// permission_denied when its MAC is wrong, deadline_exceeded when it has
-// expired.
+// Verifies and decodes a token. Errors: invalid_argument if it is malformed,
+// permission_denied if its MAC is wrong, deadline_exceeded if it has expired.
 [[nodiscard]] absl::StatusOr<plan> verify_plan(
     std::string_view token, std::string_view fleet_secret,
     std::uint64_t wall_clock_ms);
