--- a/src/core/configuration/chain_commits.cpp
+++ b/src/core/configuration/chain_commits.cpp
@@ -42,8 +42,8 @@
     }
     if (text.empty())
     {
-        text = "the current revision is " +
-               std::to_string(state.current->revision);
+        text = "revision " + std::to_string(state.current->revision) +
+               " is the current one";
     }
     return text;
 }
