--- a/tests/core/configuration_status_test.cpp
+++ b/tests/core/configuration_status_test.cpp
@@ -31,7 +31,10 @@
         });
 }
 
-TEST(fleet_status, it_shows_who_is_behind_and_how_stale_it_is)
+// Operators use the status to see which data centres lack a revision. A data
+// centre that is partitioned must not count as confirmed, and must itself show
+// how old its configuration may be.
+TEST(fleet_status, shows_unconfirmed_members_and_staleness)
 {
     fake_fleet fleet(1);
     add_nodes(fleet, {"brno", "olomouc", "zlin"}, 12);
@@ -45,7 +48,7 @@
     commit_one(fleet, 0);
     run_for(fleet, 30s);
     {
-        SCOPED_TRACE("all have confirmed, and the platform was read lately");
+        SCOPED_TRACE("all have confirmed, and the platform was read recently");
         const auto status = status_at(fleet, 4);
         EXPECT_EQ(status.revision, 1U);
         ASSERT_EQ(status.data_centres.size(), 3U);
@@ -60,7 +63,7 @@
         EXPECT_LT(*status.platform_read_ago, 15s);
     }
     {
-        SCOPED_TRACE("a cut-off data centre sees its own staleness");
+        SCOPED_TRACE("a partitioned data centre shows its own staleness");
         fleet.may_pass = [](const fleet_node& from, const fleet_node& to)
         {
             return (from.data_centre_name == "zlin") ==
@@ -77,7 +80,7 @@
         EXPECT_EQ(inside.revision, 1U);
         EXPECT_GT(*inside.platform_read_ago, 75s);
         EXPECT_FALSE(inside.data_centres.at(1).reachable);
-        SCOPED_TRACE("and the others cannot confirm it");
+        SCOPED_TRACE("the others show it as unconfirmed");
         const auto outside = status_at(fleet, 0);
         EXPECT_EQ(outside.revision, 2U);
         for (const auto& entry : outside.data_centres)
--- a/tests/core/configuration_test.cpp
+++ b/tests/core/configuration_test.cpp
@@ -77,7 +77,9 @@
     run_for(fleet, 5s);
 }
 
-TEST(configuration, a_change_is_in_force_everywhere_soon)
+// A committed change must reach every node. A conflicting, repeated or invalid
+// commit must not append another change.
+TEST(configuration, changes_reach_all_nodes)
 {
     fake_fleet fleet(1);
     start_fleet(fleet);
@@ -93,21 +95,21 @@
         }));
     EXPECT_EQ(fleet.nodes[7].chain->current->workspaces.at(0).name, "a");
     {
-        SCOPED_TRACE("from a base that has been overtaken it is refused");
+        SCOPED_TRACE("a commit on an outdated base conflicts");
         const auto refused =
             commit_and_wait(fleet, 5, 0, "op-2", put_workspace("b"));
         EXPECT_EQ(refused.status, commit_status::conflict);
         EXPECT_EQ(refused.detail, "revision 1: put-workspace a");
     }
     {
-        SCOPED_TRACE("asking again is harmless, at any node");
+        SCOPED_TRACE("a repeated commit is idempotent at any node");
         const auto again =
             commit_and_wait(fleet, 8, 0, "op-1", put_workspace("a"));
         EXPECT_EQ(again.status, commit_status::committed);
         EXPECT_EQ(again.revision, 1U);
     }
     {
-        SCOPED_TRACE("what does not fit is refused");
+        SCOPED_TRACE("a commit that cannot be applied is invalid");
         const auto invalid = commit_and_wait(
             fleet, 5, 1, "op-3",
             R"({"operations":[{"op":"remove-workspace","name":"x"}]})");
@@ -115,7 +117,9 @@
     }
 }
 
-TEST(configuration, racing_operators)
+// Of two concurrent commits on the same base, exactly one must succeed; if both
+// did, one change would be lost.
+TEST(configuration, concurrent_commits_conflict)
 {
     fake_fleet fleet(2);
     start_fleet(fleet);
@@ -136,12 +140,14 @@
     }
 }
 
-TEST(configuration, lost_answers_are_settled)
+// The platform may execute a write and lose its reply. The commit must still
+// end with the true result, and its change must not be written twice.
+TEST(configuration, commits_survive_lost_replies)
 {
     fake_fleet fleet(3);
     start_fleet(fleet);
     {
-        SCOPED_TRACE("a write that took effect counts as such");
+        SCOPED_TRACE("a write that took effect is committed");
         fleet.platform.faults.lose_next_answers = 1;
         const auto result =
             commit_and_wait(fleet, 0, 0, "op-1", put_workspace("a"));
@@ -149,7 +155,7 @@
         EXPECT_EQ(result.revision, 1U);
     }
     {
-        SCOPED_TRACE("also when others went on from it before it was settled");
+        SCOPED_TRACE("also if other commits follow before the result is found");
         run_for(fleet, 3s);
         fleet.platform.faults.lose_next_answers = 1;
         commit(fleet, 0, 1, 1, "op-2", put_workspace("b"));
@@ -169,8 +175,8 @@
         EXPECT_EQ(result.revision, 2U);
     }
     {
-        SCOPED_TRACE("a platform that is down leaves it unknown, and another "
-                     "attempt settles it");
+        SCOPED_TRACE("the result is unknown while the platform is down, and a "
+                     "retry completes the commit");
         fleet.platform.faults.down = true;
         EXPECT_EQ(
             commit_and_wait(fleet, 2, 3, "op-4", put_workspace("d")).status,
@@ -183,9 +189,9 @@
     }
 }
 
-// Carries the commits' calls of one node to the store and back; all else is
-// held up, so that nothing but the commit itself can settle it.
-void carry_commit_calls(
+// Executes only the calls of commits, so that the node receives the change in
+// no other way.
+void execute_commit_calls(
     chain_state& state, key_value_store& store, time_point now,
     control_actions& actions)
 {
@@ -210,6 +216,8 @@
     }
 }
 
+// After a lost reply the commit finds its revision taken. It must recognise its
+// own change there and not report a conflict.
 TEST(configuration, a_commit_recognises_its_own_earlier_write)
 {
     chain_state state;
@@ -221,14 +229,14 @@
     chain_start(state, {}, now, random, actions);
     store.faults.lose_next_answers = 1;
     chain_commit(state, 7, 0, "op-1", put_workspace("a"), now, random, actions);
-    carry_commit_calls(state, store, now, actions);
+    execute_commit_calls(state, store, now, actions);
     EXPECT_TRUE(state.results.empty());
     EXPECT_TRUE(store.values.contains(change_key(1)));
     for (int step = 0; step < 60 && state.results.empty(); ++step)
     {
         now += 100ms;
         chain_tick(state, members, now, random, actions);
-        carry_commit_calls(state, store, now, actions);
+        execute_commit_calls(state, store, now, actions);
     }
     ASSERT_EQ(state.results.size(), 1U);
     EXPECT_EQ(state.results.front().token, 7U);
@@ -236,7 +244,9 @@
     EXPECT_EQ(state.current->revision, 1U);
 }
 
-TEST(configuration, it_outlives_a_platform_outage)
+// During a platform outage, restarted nodes must get the configuration from
+// peers. After it, the nodes must not overload the platform with retries.
+TEST(configuration, nodes_restart_during_a_platform_outage)
 {
     fake_fleet fleet(4);
     start_fleet(fleet);
@@ -249,7 +259,7 @@
         }));
     fleet.platform.faults.down = true;
     {
-        SCOPED_TRACE("all nodes are restarted one by one, without addresses");
+        SCOPED_TRACE("all nodes are restarted one by one");
         for (std::size_t place = 0; place < fleet.nodes.size(); ++place)
         {
             kill_node(fleet, place);
@@ -266,7 +276,8 @@
         EXPECT_TRUE(all_have(fleet, 1));
     }
     {
-        SCOPED_TRACE("after it, changes go on, and the platform sees no herd");
+        SCOPED_TRACE("after the outage commits succeed, and the number of "
+                     "platform calls is bounded");
         const auto before = store_call_count(fleet.platform);
         fleet.platform.faults.down = false;
         run_for(fleet, 15s);
@@ -283,7 +294,10 @@
     }
 }
 
-TEST(configuration, a_cut_off_data_centre_catches_up)
+// A data centre without links to the others must read changes from the platform
+// itself. Without the platform too, it keeps its revision and catches up once
+// the links are back.
+TEST(configuration, a_partitioned_data_centre_catches_up)
 {
     fake_fleet fleet(5);
     start_fleet(fleet);
@@ -293,7 +307,7 @@
                (to.data_centre_name == "zlin");
     };
     {
-        SCOPED_TRACE("it reads the platform itself where it can");
+        SCOPED_TRACE("it reads changes from the platform");
         commit_and_wait(fleet, 0, 0, "op-1", put_workspace("a"));
         EXPECT_TRUE(run_until_true(
             fleet, 10s,
@@ -303,7 +317,7 @@
             }));
     }
     {
-        SCOPED_TRACE("and goes on with what it has where it cannot");
+        SCOPED_TRACE("it keeps its revision without the platform");
         for (std::size_t place = 2; place < 12; place += 3)
         {
             cut_from_platform(fleet, place);
@@ -314,7 +328,7 @@
         EXPECT_EQ(revision_of(fleet, 1), 2U);
     }
     {
-        SCOPED_TRACE("once it is reached again it has all changes soon");
+        SCOPED_TRACE("it catches up once the links are back");
         fleet.may_pass = {};
         EXPECT_TRUE(run_until_true(
             fleet, 5s,
@@ -325,6 +339,8 @@
     }
 }
 
+// Without snapshots, the chain in the platform would grow without bound and a
+// new node would have to read all of it.
 TEST(configuration, snapshots_bound_the_replay)
 {
     fake_fleet fleet(6);
@@ -347,12 +363,13 @@
         }));
     run_for(fleet, 120s);
     {
-        SCOPED_TRACE("old changes are gone from the platform");
+        SCOPED_TRACE("old changes are deleted from the platform");
         EXPECT_LT(fleet.platform.values.size(), 450U);
         EXPECT_FALSE(fleet.platform.values.contains(change_key(1)));
     }
     {
-        SCOPED_TRACE("a node alone with the platform gets all of it");
+        SCOPED_TRACE("a node that reaches only the platform gets the whole "
+                     "configuration");
         const auto added = add_node(fleet, "lone");
         fleet.may_pass = [&](const fleet_node& from, const fleet_node& to)
         {
@@ -370,14 +387,17 @@
             *fleet.nodes[added].chain->current, *fleet.nodes[0].chain->current);
     }
     {
-        SCOPED_TRACE("a base whose successors are gone is still refused");
+        SCOPED_TRACE("a commit conflicts also if the changes after its base "
+                     "are deleted");
         const auto refused =
             commit_and_wait(fleet, 0, 1, "late", put_workspace("late"));
         EXPECT_EQ(refused.status, commit_status::conflict);
     }
 }
 
-TEST(configuration, what_cannot_be_read_is_not_applied)
+// A malformed change in the platform must not be applied anywhere, and each
+// node reports it at most once.
+TEST(configuration, malformed_changes_are_rejected)
 {
     fake_fleet fleet(7);
     start_fleet(fleet);
@@ -403,7 +423,9 @@
     EXPECT_LE(rejections, fleet.nodes.size());
 }
 
-TEST(configuration, a_fork_is_not_applied)
+// A change whose hash does not match its predecessor comes from another chain.
+// Applying it, or applying changes out of order, would make nodes diverge.
+TEST(configuration, forks_and_gaps_are_not_applied)
 {
     chain_state state;
     control_actions actions;
@@ -429,6 +451,8 @@
     EXPECT_EQ(state.current->revision, 2U);
 }
 
+// Malformed messages, and snapshots that were not pulled, must not change the
+// state of a node.
 TEST(configuration, bad_messages_are_reported_and_ignored)
 {
     chain_state state;
@@ -452,7 +476,7 @@
         EXPECT_EQ(actions.events.front().kind, event_kind::bad_input);
     }
     {
-        SCOPED_TRACE("so is a snapshot that nobody asked for");
+        SCOPED_TRACE("a snapshot that was not pulled is ignored");
         message.part = 0;
         message.bytes = "{}";
         const auto bytes = encode(message);
--- a/tests/core/document_source_test.cpp
+++ b/tests/core/document_source_test.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-// "version VERSION"; anything else cannot be read.
+// Parses "version VERSION"; anything else is an error.
 absl::StatusOr<configuration>
 read_version(std::string_view text, std::string_view /*fleet_secret*/)
 {
@@ -31,7 +31,7 @@
         document_start(state, chain, now);
     }
 
-    // The call that is made by now, if any.
+    // Ticks; returns the call that the node has made, if any.
     std::optional<platform_call> next_call()
     {
         document_tick(state, chain, members, now, random, actions);
@@ -65,7 +65,9 @@
     control_actions actions;
 };
 
-TEST(document_source, versions_only_go_forward)
+// An older or malformed document must never replace a newer one, and no version
+// may be missed between a read and a watch.
+TEST(document_source, versions_never_decrease)
 {
     document_fixture node;
     auto call = node.next_call();
@@ -75,14 +77,14 @@
         *call, platform_status::ok, {{"document", "version 7", 40}}, 41);
     EXPECT_EQ(node.chain.current->revision, 7U);
     {
-        SCOPED_TRACE("then changes are watched for, without a gap");
+        SCOPED_TRACE("the watch starts at the revision of the read");
         call = node.next_call();
         ASSERT_TRUE(call);
         EXPECT_EQ(call->operation, platform_operation::watch);
         EXPECT_EQ(call->expected_version, 41U);
     }
     {
-        SCOPED_TRACE("of several versions the last is taken");
+        SCOPED_TRACE("the last of several versions is applied");
         node.answer(
             *call, platform_status::ok,
             {{"document", "version 9", 42}, {"document", "version 12", 43}},
@@ -90,14 +92,14 @@
         EXPECT_EQ(node.chain.current->revision, 12U);
     }
     {
-        SCOPED_TRACE("an older one changes nothing");
+        SCOPED_TRACE("an older version is ignored");
         call = node.next_call();
         node.answer(
             *call, platform_status::ok, {{"document", "version 11", 44}}, 44);
         EXPECT_EQ(node.chain.current->revision, 12U);
     }
     {
-        SCOPED_TRACE("one that cannot be read leaves the old in force");
+        SCOPED_TRACE("a malformed document is rejected");
         call = node.next_call();
         node.answer(*call, platform_status::ok, {{"document", "?", 45}}, 45);
         EXPECT_EQ(node.chain.current->revision, 12U);
@@ -106,7 +108,7 @@
             event_kind::configuration_rejected);
     }
     {
-        SCOPED_TRACE("history that was dropped makes it read again");
+        SCOPED_TRACE("lost history makes the node read the document again");
         call = node.next_call();
         node.answer(*call, platform_status::history_lost);
         call = node.next_call();
@@ -115,7 +117,9 @@
     }
 }
 
-TEST(document_source, proofs_of_the_newest_version)
+// The time of the last confirmation must not be later than the platform's
+// answer proves, or stale keys would be accepted for too long.
+TEST(document_source, confirmation_times_of_the_newest_version)
 {
     document_fixture node;
     auto call = node.next_call();
@@ -123,31 +127,32 @@
     node.now += 300ms;
     node.answer(*call, platform_status::ok, {{"document", "version 7", 1}}, 1);
     {
-        SCOPED_TRACE("a read proves what was so when it was asked");
+        SCOPED_TRACE("a read confirms the time when it was started");
         EXPECT_EQ(
             configuration_confirmed_at(node.chain, node.members), read_at);
     }
     {
-        SCOPED_TRACE("a watch that waited proves the time that it waited");
+        SCOPED_TRACE("a full watch confirms the end of its wait time");
         call = node.next_call();
-        const time_point asked_at = node.now;
+        const time_point started_at = node.now;
         node.now += 2'100ms;
         node.answer(*call, platform_status::ok, {}, 1);
         EXPECT_EQ(
             configuration_confirmed_at(node.chain, node.members),
-            asked_at + 2s);
+            started_at + 2s);
     }
     {
-        SCOPED_TRACE("one that is cut short proves only its start");
+        SCOPED_TRACE("a watch that ends early confirms only its start");
         call = node.next_call();
-        const time_point asked_at = node.now;
+        const time_point started_at = node.now;
         node.now += 500ms;
         node.answer(*call, platform_status::ok, {}, 1);
         EXPECT_EQ(
-            configuration_confirmed_at(node.chain, node.members), asked_at);
+            configuration_confirmed_at(node.chain, node.members), started_at);
     }
     {
-        SCOPED_TRACE("a peer's proof counts only for the version it has");
+        SCOPED_TRACE("a peer's read counts only while no newer version is "
+                     "reported");
         node.members.platform_read_at = node.now;
         node.members.highest_revision = 7;
         EXPECT_EQ(
@@ -158,14 +163,16 @@
     }
 }
 
-TEST(document_source, the_platform_refuses_this_node)
+// A node that the platform refuses must get the document from a peer, and must
+// neither stop retrying nor retry without a pause.
+TEST(document_source, a_refused_node_gets_the_document_from_a_peer)
 {
     document_fixture refused;
     document_fixture peer;
     auto call = peer.next_call();
     peer.answer(*call, platform_status::ok, {{"document", "version 7", 1}}, 1);
     {
-        SCOPED_TRACE("it asks again, at most about once a second");
+        SCOPED_TRACE("it retries about once a second");
         int calls = 0;
         for (int i = 0; i < 100; ++i)
         {
@@ -180,8 +187,8 @@
         EXPECT_LE(calls, 30);
     }
     {
-        SCOPED_TRACE("a peer that has a version passes it on");
-        const auto asker = static_cast<host_id>(1);
+        SCOPED_TRACE("a peer sends the document on request");
+        const auto requester = static_cast<host_id>(1);
         const auto holder = static_cast<host_id>(2);
         refused.members.highest_revision = 7;
         refused.members.highest_revision_host = holder;
@@ -196,8 +203,8 @@
         EXPECT_EQ(pull.to, holder);
         peer.actions = {};
         document_on_message(
-            peer.state, peer.chain, {asker, pull.kind, pull.payload}, peer.now,
-            peer.actions);
+            peer.state, peer.chain, {requester, pull.kind, pull.payload},
+            peer.now, peer.actions);
         ASSERT_FALSE(peer.actions.messages.empty());
         for (const auto& part : peer.actions.messages)
         {
@@ -208,7 +215,7 @@
         EXPECT_EQ(refused.chain.current->revision, 7U);
     }
     {
-        SCOPED_TRACE("a message that is none changes nothing");
+        SCOPED_TRACE("a malformed message is reported and ignored");
         const std::vector<std::uint8_t> bytes{1, 2, 3};
         document_on_message(
             refused.state, refused.chain,
--- a/tests/core/intent_test.cpp
+++ b/tests/core/intent_test.cpp
@@ -56,16 +56,18 @@
 
 const configuration& sample()
 {
-    static const configuration new_plan = apply_all(
+    static const configuration value = apply_all(
         {}, put_workspace("school", 10) + "," + put_key("k1", "school") + "," +
                 R"({"op":"put-route","name":"book","method":"POST",
                     "path_prefix":"/book","service":"booking",
                     "priority":"critical","never_repeat":true},
                    {"op":"put-data-centre","name":"brno","region":"moravia",
                     "weight":2.5})");
-    return new_plan;
+    return value;
 }
 
+// Operations and configurations are stored as JSON. A field that is lost or
+// changed on the way would change the fleet's configuration.
 TEST(intent, operations_are_read_and_applied)
 {
     EXPECT_EQ(sample().workspaces.at(0).rate, 10.0);
@@ -74,7 +76,8 @@
     EXPECT_EQ(sample().routes.at(0).retry_allowance, 2);
     EXPECT_EQ(sample().data_centres.at(0).weight, 2.5);
     {
-        SCOPED_TRACE("they survive the way through their own text");
+        SCOPED_TRACE(
+            "operations are unchanged after a round trip through JSON");
         const auto parsed = parse_operations(operations_of(
             put_workspace("a", 1) + "," + put_key("k", "a") +
             R"(,{"op":"withdraw-key","id":"k"})"));
@@ -83,7 +86,7 @@
         EXPECT_EQ(to_json(again.operations), to_json(parsed.operations));
     }
     {
-        SCOPED_TRACE("so does a whole configuration");
+        SCOPED_TRACE("a configuration is unchanged after a round trip");
         findings found;
         const auto again = parse_configuration(to_json(sample()), found);
         ASSERT_TRUE(again.has_value());
@@ -91,10 +94,12 @@
     }
 }
 
-TEST(intent, all_findings_come_together)
+// All faults of a text must be reported at once, each with its JSON pointer,
+// and malformed input must not crash the parser.
+TEST(intent, all_findings_are_reported_at_once)
 {
     {
-        SCOPED_TRACE("of the text");
+        SCOPED_TRACE("findings of the fields");
         const auto parsed = parse_operations(operations_of(
             R"({"op":"put-workspace","name":"a b","rate":0,"burst":1e300},
                {"op":"fly"}, 7,
@@ -109,7 +114,7 @@
                 "/operations/4/fly~1er"}));
     }
     {
-        SCOPED_TRACE("of what it asks for");
+        SCOPED_TRACE("findings of the operations on a configuration");
         EXPECT_EQ(
             places_of(findings_of(
                 sample(),
@@ -122,7 +127,7 @@
                 "/operations/3/workspace"}));
     }
     {
-        SCOPED_TRACE("of a text that is no JSON");
+        SCOPED_TRACE("findings of a text with an invalid structure");
         EXPECT_EQ(parse_operations("{").found.size(), 1U);
         EXPECT_EQ(parse_operations("[]").found.size(), 1U);
         EXPECT_EQ(parse_operations(R"({"operations":[]})").found.size(), 1U);
@@ -131,6 +136,7 @@
     }
 }
 
+// Putting a withdrawn key again must not make it valid.
 TEST(intent, a_withdrawn_key_stays_withdrawn)
 {
     const auto withdrawn =
@@ -145,7 +151,9 @@
         std::vector<std::string>{"/operations/0/id"});
 }
 
-TEST(intent, a_plan_can_be_trusted)
+// Nodes store no plans. A plan that was altered, signed with another secret or
+// has expired must be refused.
+TEST(intent, plans_are_authenticated)
 {
     const auto planned = plan_change(
         sample(), operations_of(put_workspace("school", 30)), "op-1", 1000);
@@ -156,14 +164,14 @@
                           "+ workspace school: rate 30, burst 20"}));
     const std::string token = sign_plan(planned.new_plan, "secret");
     {
-        SCOPED_TRACE("any node that knows the secret can open it");
+        SCOPED_TRACE("any node with the secret can verify it");
         const auto opened = verify_plan(token, "secret", 2000);
         ASSERT_TRUE(opened.ok());
         EXPECT_EQ(opened->operation_id, "op-1");
         EXPECT_EQ(opened->operations, planned.new_plan.operations);
     }
     {
-        SCOPED_TRACE("not after its time");
+        SCOPED_TRACE("an expired plan is refused");
         EXPECT_EQ(
             verify_plan(token, "secret", 1000 + plan_lifetime_ms)
                 .status()
@@ -171,7 +179,7 @@
             absl::StatusCode::kDeadlineExceeded);
     }
     {
-        SCOPED_TRACE("and not when anything was altered");
+        SCOPED_TRACE("an altered plan is refused");
         EXPECT_FALSE(verify_plan(token, "other", 2000).ok());
         for (std::size_t place = 0; place < token.size(); place += 7)
         {
