--- a/src/core/configuration/chain_peers.cpp
+++ b/src/core/configuration/chain_peers.cpp
@@ -13,6 +13,8 @@
 using wire::configuration::message_body;
 
 constexpr std::size_t local_peers_per_revision = 3;
+// The expected number of messages that all nodes of a data centre together send
+// to other data centres.
 constexpr double remote_messages_per_revision = 24.0;
 // Bytes; a change up to this size is sent with the advertised revision.
 constexpr std::size_t max_change_in_datagram = 900;
