--- a/src/core/configuration/chain_commits.cpp
+++ b/src/core/configuration/chain_commits.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-// How long a commit is tried.
-constexpr duration commit_time = 8s;
-constexpr std::size_t most_changes_described = 5;
+// A commit without a result by then ends as unknown.
+constexpr duration commit_timeout = 8s;
+constexpr std::size_t max_changes_described = 5;
 
 void finish(
     chain_state& state, commit_token token, commit_status status,
@@ -33,7 +33,7 @@
         {
             continue;
         }
-        if (described++ == most_changes_described)
+        if (described++ == max_changes_described)
         {
             return text + "; and more";
         }
@@ -43,13 +43,15 @@
     if (text.empty())
     {
         text = "revision " + std::to_string(state.current->revision) +
-               " is in force";
+               " is the current one";
     }
     return text;
 }
 
-// Checks a commit against what is remembered. True when it is settled by that.
-bool settle(chain_state& state, commit_token token, pending_commit& pending)
+// Finishes a commit whose result follows from the recent changes. Returns true
+// if it did.
+bool finish_if_decided(
+    chain_state& state, commit_token token, pending_commit& pending)
 {
     const std::uint64_t base = pending.change.revision - 1;
     if (const auto* done = find_operation(state, pending.change.operation_id);
@@ -62,11 +64,11 @@
     {
         return false;
     }
-    const bool remembers =
+    const bool has_changes_since_base =
         !state.recent.empty() && state.recent.front().revision <= base + 1;
-    if (!remembers)
+    if (!has_changes_since_base)
     {
-        pending.step = commit_step::settling;
+        pending.step = commit_step::resolving;
         return false;
     }
     finish(
@@ -118,17 +120,17 @@
     pending.maybe_written = true;
 }
 
-// Does the next step of a commit that waits for no answer.
-void step(
+// Starts the next call of a commit that has none in flight.
+void advance_commit(
     chain_state& state, commit_token token, pending_commit& pending,
     control_actions& actions)
 {
-    if (settle(state, token, pending))
+    if (finish_if_decided(state, token, pending))
     {
         return;
     }
     const std::uint64_t base = pending.change.revision - 1;
-    if (pending.step == commit_step::settling)
+    if (pending.step == commit_step::resolving)
     {
         read_key(state, token, change_key(base + 1), pending, actions);
         return;
@@ -151,8 +153,9 @@
     }
     if (pending.step == commit_step::checking)
     {
-        // Old changes are deleted after a while; a base that is gone must not
-        // be built upon.
+        // Old changes are deleted from the platform. Without its base, the key
+        // of the next revision may be absent only because it was deleted, so
+        // a write could succeed wrongly.
         read_key(
             state, token,
             base == 0 ? std::string(snapshot_head_key) : change_key(base),
@@ -162,7 +165,7 @@
     write_change(state, token, pending, actions);
 }
 
-void take_missing_change(
+void apply_missing_change(
     chain_state& state, const platform_reply& reply, time_point now,
     control_actions& actions)
 {
@@ -177,25 +180,26 @@
     }
 }
 
-void take_checked_base(
+void handle_base_reply(
     chain_state& state, commit_token token, pending_commit& pending,
     const platform_reply& reply, control_actions& actions)
 {
     const bool is_first = pending.change.revision == 1;
-    const bool base_stands = is_first == reply.entries.empty();
-    if (!base_stands)
+    const bool is_base_intact = is_first == reply.entries.empty();
+    if (!is_base_intact)
     {
         finish(
             state, token, commit_status::conflict, state.current->revision,
-            "many changes were made since; plan again");
+            "the base revision is too old to check; make a new plan");
         return;
     }
     pending.step = commit_step::writing;
-    step(state, token, pending, actions);
+    advance_commit(state, token, pending, actions);
 }
 
-// Another writer, or an earlier attempt of this one, took the revision.
-void take_present_change(
+// Finishes a commit whose revision is taken by another change, or by an earlier
+// write of this same change.
+void resolve_conflict(
     chain_state& state, commit_token token, const platform_reply& reply,
     time_point now, control_actions& actions)
 {
@@ -207,7 +211,7 @@
     {
         finish(
             state, token, commit_status::conflict, state.current->revision,
-            "many changes were made since; plan again");
+            "the base revision is too old to check; make a new plan");
         return;
     }
     apply_change(state, *present, now, actions);
@@ -218,13 +222,13 @@
         present->revision, is_own ? "" : describe_change(*present));
 }
 
-void take_written(
+void handle_write_reply(
     chain_state& state, commit_token token, const platform_reply& reply,
     time_point now, control_actions& actions)
 {
     if (reply.status != platform_status::ok)
     {
-        take_present_change(state, token, reply, now, actions);
+        resolve_conflict(state, token, reply, now, actions);
         return;
     }
     const chain_change change = state.commits.at(token).change;
@@ -247,13 +251,12 @@
     pending_commit& pending = state.commits[token];
     pending = {};
     pending.change = change;
-    pending.deadline = now + commit_time;
+    pending.deadline = now + commit_timeout;
     pending.retry_at = now;
-    step(state, token, pending, actions);
+    advance_commit(state, token, pending, actions);
 }
 
-void advance_commits(
-    chain_state& state, time_point now, control_actions& actions)
+void tick_commits(chain_state& state, time_point now, control_actions& actions)
 {
     std::vector<commit_token> tokens;
     for (const auto& item : state.commits)
@@ -269,13 +272,13 @@
                 state, token, commit_status::unknown, 0,
                 pending.maybe_written
                     ? "the platform did not answer; the change may be in the "
-                      "chain, ask again"
+                      "chain, retry it"
                     : "the platform did not answer; nothing was written");
             continue;
         }
         if (!pending.in_flight && now >= pending.retry_at)
         {
-            step(state, token, pending, actions);
+            advance_commit(state, token, pending, actions);
         }
     }
 }
@@ -295,7 +298,7 @@
     return due;
 }
 
-void take_commit_reply(
+void handle_commit_reply(
     chain_state& state, const chain_call& call, const platform_reply& reply,
     time_point now, random_source& random, control_actions& actions)
 {
@@ -314,27 +317,27 @@
     }
     if (call.kind == chain_call_kind::commit_write)
     {
-        take_written(state, call.token, reply, now, actions);
+        handle_write_reply(state, call.token, reply, now, actions);
         return;
     }
-    if (pending.step == commit_step::settling)
+    if (pending.step == commit_step::resolving)
     {
-        take_present_change(state, call.token, reply, now, actions);
+        resolve_conflict(state, call.token, reply, now, actions);
         return;
     }
     if (pending.step == commit_step::checking)
     {
-        take_checked_base(state, call.token, pending, reply, actions);
+        handle_base_reply(state, call.token, pending, reply, actions);
         return;
     }
     const std::uint64_t before = state.current->revision;
-    take_missing_change(state, reply, now, actions);
+    apply_missing_change(state, reply, now, actions);
     if (state.current->revision == before)
     {
         retry_later(pending, now, random);
         return;
     }
-    step(state, call.token, pending, actions);
+    advance_commit(state, call.token, pending, actions);
 }
 
 } // namespace cyclamenhold
--- a/src/core/intent/json_reader.cpp
+++ b/src/core/intent/json_reader.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t max_json_depth = 16;
 
-// Escapes a name for a JSON pointer.
+// Escapes a name for a JSON pointer (RFC 6901).
 std::string escape_pointer(std::string_view name)
 {
     std::string escaped;
@@ -70,7 +70,7 @@
 const boost::json::value*
 read_field(json_reader& reader, std::string_view field, bool required)
 {
-    reader.read.emplace(field);
+    reader.read_fields.emplace(field);
     const auto* value = reader.object->if_contains(
         boost::json::string_view(field.data(), field.size()));
     if (value == nullptr && required)
@@ -107,15 +107,15 @@
     }
     const double number =
         value->is_number() ? value->to_number<double>() : std::nan("");
-    const bool fits =
-        std::isfinite(number) && number <= range.highest &&
-        (range.above_lowest ? number > range.lowest : number >= range.lowest);
+    const bool fits = std::isfinite(number) && number <= range.highest &&
+                      (range.excludes_lowest ? number > range.lowest
+                                             : number >= range.lowest);
     if (!fits)
     {
         add_finding(
             *reader.found, json_place(reader, field),
             "must be a number " +
-                std::string(range.above_lowest ? "above " : "from ") +
+                std::string(range.excludes_lowest ? "above " : "from ") +
                 text_of(range.lowest) + " to " + text_of(range.highest));
         return range.highest;
     }
@@ -124,12 +124,12 @@
 
 std::uint64_t read_integer(
     json_reader& reader, std::string_view field, std::uint64_t lowest,
-    std::uint64_t highest, std::uint64_t otherwise)
+    std::uint64_t highest, std::uint64_t fallback)
 {
     const auto* value = read_field(reader, field, false);
     if (value == nullptr)
     {
-        return otherwise;
+        return fallback;
     }
     boost::json::error_code error;
     const auto number = value->is_number()
@@ -141,33 +141,33 @@
             *reader.found, json_place(reader, field),
             "must be a whole number from " + std::to_string(lowest) + " to " +
                 std::to_string(highest));
-        return otherwise;
+        return fallback;
     }
     return number;
 }
 
-bool read_flag(json_reader& reader, std::string_view field, bool otherwise)
+bool read_bool(json_reader& reader, std::string_view field, bool fallback)
 {
     const auto* value = read_field(reader, field, false);
     if (value == nullptr)
     {
-        return otherwise;
+        return fallback;
     }
     if (!value->is_bool())
     {
         add_finding(
             *reader.found, json_place(reader, field), "must be true or false");
-        return otherwise;
+        return fallback;
     }
     return value->get_bool();
 }
 
-void finish_reading(json_reader& reader)
+void report_unread_fields(json_reader& reader)
 {
     for (const auto& item : *reader.object)
     {
         const std::string_view name(item.key().data(), item.key().size());
-        if (!reader.read.contains(name))
+        if (!reader.read_fields.contains(name))
         {
             add_finding(
                 *reader.found, json_place(reader, name), "is not known here");
