--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -49,15 +49,15 @@
             {
                 continue;
             }
-            const member_claim claim{
+            const member_report report{
                 other.host,
                 other.running ? other.membership->self_incarnation : 1, 0,
                 other.settings.data_centre, member_state::alive};
             merge_record(
-                *viewer.membership, claim, upstream_of(place), fleet.now,
+                *viewer.membership, report, upstream_of(place), fleet.now,
                 ignored);
         }
-        viewer.membership->news.clear();
+        viewer.membership->updates.clear();
     }
 }
 
--- a/src/adapters/call_driver.cpp
+++ b/src/adapters/call_driver.cpp
@@ -312,7 +312,7 @@
 }
 
 asio::awaitable<call_step>
-wait_for_claim(call_run& run, const claim_question& question)
+wait_for_claim(call_run& run, const claim_request& question)
 {
     run.caller->thread.control.ask_claim(question);
     const auto wakeup = co_await wait_for_wakeup(run);
--- a/src/adapters/call_driver.hpp
+++ b/src/adapters/call_driver.hpp
@@ -24,7 +24,7 @@
 // What the request path asks of the control thread, from any thread.
 struct control_port
 {
-    std::function<void(const claim_question&)> ask_claim;
+    std::function<void(const claim_request&)> ask_claim;
     std::function<void(const claim_completion&)> complete_claim;
     // Calls back with a new ticket; empty when none can be issued.
     std::function<void(std::function<void(std::string)>)> issue_ticket;
--- a/src/adapters/control_loop.cpp
+++ b/src/adapters/control_loop.cpp
@@ -376,7 +376,7 @@
         });
 }
 
-void post_claim_question(control_loop& loop, const claim_question& question)
+void post_claim_question(control_loop& loop, const claim_request& question)
 {
     asio::post(
         loop.io,
@@ -386,7 +386,7 @@
                 loop,
                 [&](control_actions& actions)
                 {
-                    claims_ask(
+                    claims_request(
                         loop.state.claims, inputs_of_claims(loop.state),
                         question, now(), loop.random, actions);
                 });
--- a/src/adapters/control_loop.hpp
+++ b/src/adapters/control_loop.hpp
@@ -80,7 +80,7 @@
 void post_control_message(
     control_loop& loop, host_id from, message_kind kind,
     std::vector<std::uint8_t> payload);
-void post_claim_question(control_loop& loop, const claim_question& question);
+void post_claim_question(control_loop& loop, const claim_request& question);
 void post_claim_completion(
     control_loop& loop, const claim_completion& completion);
 void post_ticket(control_loop& loop, std::function<void(std::string)> callback);
--- a/src/adapters/node_runtime.cpp
+++ b/src/adapters/node_runtime.cpp
@@ -283,7 +283,7 @@
             heartbeat_avoidance.count());
         node.services.record(seen);
     };
-    node.control_side.ask_claim = [&node](const claim_question& question)
+    node.control_side.ask_claim = [&node](const claim_request& question)
     {
         post_claim_question(node.control, question);
     };
--- a/src/core/claims/claim.hpp
+++ b/src/core/claims/claim.hpp
@@ -14,7 +14,7 @@
 // Names a claim that the request path asked for.
 using claim_token = std::uint64_t;
 
-struct claim_question
+struct claim_request
 {
     claim_token token = 0;
     workspace_id workspace = workspace_id::none;
--- a/src/core/claims/claims.cpp
+++ b/src/core/claims/claims.cpp
@@ -1,7 +1,7 @@
 #include "core/claims/claims.hpp"
 
+#include "core/claims/claims_context.hpp"
 #include "core/claims/key.hpp"
-#include "core/claims/step.hpp"
 
 #include <algorithm>
 
@@ -13,18 +13,18 @@
 namespace wire_claims = wire::claims;
 
 void dispatch(
-    claims_step& step, host_id from, const wire_claims::bodyUnion& body)
+    claims_context& context, host_id from, const wire_claims::bodyUnion& body)
 {
     switch (body.type)
     {
     case wire_claims::body::question:
-        return on_claim_question(step, from, *body.Asquestion());
+        return on_claim_request(context, from, *body.Asquestion());
     case wire_claims::body::answer:
-        return on_claim_answer(step, from, *body.Asanswer());
+        return on_claim_answer(context, from, *body.Asanswer());
     case wire_claims::body::completion:
-        return on_claim_completion(step, from, *body.Ascompletion());
+        return on_claim_completion(context, from, *body.Ascompletion());
     case wire_claims::body::completion_ack:
-        return on_completion_ack(step, *body.Ascompletion_ack());
+        return on_completion_ack(context, *body.Ascompletion_ack());
     case wire_claims::body::NONE:
         return;
     }
@@ -32,18 +32,19 @@
 
 } // namespace
 
-void send_claims(claims_step& step, host_id to, wire_claims::bodyUnion body)
+void send_claims(
+    claims_context& context, host_id to, wire_claims::bodyUnion body)
 {
-    if (to == step.state.settings.self)
+    if (to == context.state.settings.self)
     {
-        dispatch(step, to, body);
+        dispatch(context, to, body);
         return;
     }
     wire_claims::message_data message;
     message.body = std::move(body);
     flatbuffers::FlatBufferBuilder builder;
     builder.Finish(wire_claims::message::Pack(builder, &message));
-    step.actions.messages.push_back(
+    context.actions.messages.push_back(
         {to,
          message_kind::claims,
          transport::stream,
@@ -63,10 +64,10 @@
     claims_state& state, const claims_inputs& inputs, time_point now,
     random_source& /*random*/, control_actions& actions)
 {
-    claims_step step{state, inputs, now, actions};
-    keep_records(step);
-    keep_questions(step);
-    keep_completions(step);
+    claims_context context{state, inputs, now, actions};
+    tick_records(context);
+    tick_claim_requests(context);
+    tick_completions(context);
 }
 
 void claims_on_message(
@@ -86,17 +87,17 @@
              "malformed claims message"});
         return;
     }
-    claims_step step{state, inputs, now, actions};
+    claims_context context{state, inputs, now, actions};
     const auto decoded = wire_claims::UnPackmessage(message.payload.data());
-    dispatch(step, message.from, decoded->body);
+    dispatch(context, message.from, decoded->body);
 }
 
 time_point claims_due(const claims_state& state)
 {
     time_point due = state.next_cleanup_at;
-    for (const auto& [token, pending] : state.questions)
+    for (const auto& [token, pending] : state.pending_requests)
     {
-        due = std::min({due, pending.next_send_at, pending.give_up_at});
+        due = std::min({due, pending.next_send_at, pending.expires_at});
     }
     for (const auto& [sequence, pending] : state.completions)
     {
--- a/src/core/claims/claims.hpp
+++ b/src/core/claims/claims.hpp
@@ -1,5 +1,5 @@
-// Claims on never-repeat requests: asked of the steward of the key's shard, and
-// kept there. Runs on the control thread only.
+// Claims on never-repeat requests: contacted_stewards of the steward of the
+// key's shard, and kept there. Runs on the control thread only.
 #pragma once
 
 #include "core/base/random.hpp"
@@ -27,8 +27,9 @@
     duration retention = 600s;
     // How long a claim may be used after it was granted.
     duration claim_term = 30s;
-    // How long a question is asked before it is answered `unavailable`.
-    duration question_time = 2s;
+    // How long a request is contacted_stewards before it is answered
+    // `unavailable`.
+    duration claim_request_timeout = 2s;
 };
 
 struct claims_inputs
@@ -40,15 +41,15 @@
     std::uint64_t wall_clock_ms = 0;
 };
 
-// A question of this node that has no answer yet.
-struct pending_question
+// A request of this node that has no answer yet.
+struct pending_claim_request
 {
-    claim_question question;
+    claim_request request;
     // Of the first time it was sent, from which the claim's term counts.
-    time_point first_asked_at{};
+    time_point first_sent_at{};
     time_point next_send_at{};
-    time_point give_up_at{};
-    std::set<host_id> asked;
+    time_point expires_at{};
+    std::set<host_id> contacted_stewards;
 };
 
 // A completion or withdrawal that the steward has not acknowledged.
@@ -60,7 +61,7 @@
     claim_token token = 0;
     time_point next_send_at{};
     duration interval{};
-    time_point give_up_at{};
+    time_point expires_at{};
 };
 
 // A claim this node was granted, until its request ends.
@@ -73,18 +74,18 @@
 struct claims_state
 {
     claims_settings settings;
-    // Answers to questions of this node, to be taken by the caller.
+    // Answers to pending_requests of this node, to be taken by the caller.
     std::vector<claim_answer> answers;
     // What follows is used by the claims code only.
-    std::map<claim_token, pending_question> questions;
+    std::map<claim_token, pending_claim_request> pending_requests;
     std::map<std::uint64_t, pending_completion> completions;
     std::uint64_t last_sequence = 0;
     // By epoch and claim id.
-    std::map<std::uint64_t, std::map<std::uint64_t, held_claim>> held;
+    std::map<std::uint64_t, std::map<std::uint64_t, held_claim>> held_claims;
     std::array<claim_records, shard_count> records;
     // The data centres that keys are hashed over, and since when.
     std::uint64_t homes_digest = 0;
-    time_point homes_since = time_point::min();
+    time_point homes_changed_at = time_point::min();
     time_point next_cleanup_at{};
     // The newest epoch the last gate has seen of each data centre and shard.
     std::map<std::uint64_t, std::uint64_t> gate_epochs;
@@ -104,9 +105,9 @@
 
 // Asks for a claim; the answer appears in `state.answers`, at once when this
 // node is the steward.
-void claims_ask(
+void claims_request(
     claims_state& state, const claims_inputs& inputs,
-    const claim_question& question, time_point now, random_source& random,
+    const claim_request& request, time_point now, random_source& random,
     control_actions& actions);
 
 // Reports how a claimed request ended. `not_run` may only be reported when
--- a/src/core/claims/key.cpp
+++ b/src/core/claims/key.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t uuid_size = 36;
 
 // Takes a hexadecimal number up to the next '_' off the front of `text`.
-std::optional<std::uint64_t> take_number(std::string_view& text)
+std::optional<std::uint64_t> consume_hexadecimal(std::string_view& text)
 {
     const auto end = std::min(text.find('_'), text.size());
     std::uint64_t value = 0;
@@ -61,7 +61,7 @@
     std::array<std::uint64_t, 5> numbers{};
     for (auto& number : numbers)
     {
-        const auto taken = take_number(text);
+        const auto taken = consume_hexadecimal(text);
         if (!taken)
         {
             return std::nullopt;
@@ -96,7 +96,7 @@
     const std::string digits =
         std::string(text.substr(0, 8)) + std::string(text.substr(9, 4));
     std::string_view rest = digits;
-    return take_number(rest);
+    return consume_hexadecimal(rest);
 }
 
 claim_home home_of(const configuration& current, std::string_view key)
--- a/src/core/claims/records.cpp
+++ b/src/core/claims/records.cpp
@@ -11,68 +11,68 @@
 {
 
 constexpr std::size_t max_records = 50'000;
-constexpr std::uint64_t number_mask = (1ULL << 24) - 1;
+constexpr std::uint64_t claim_number_mask = (1ULL << 24) - 1;
 
 // Whether a key without a record can never have been claimed before.
 enum class key_novelty : std::uint8_t
 {
-    certain,
-    uncertain,
+    unused,
+    possibly_used,
     // It comes from the future, and later stewards could take it for new.
-    premature
+    in_future
 };
 
-key_novelty
-novelty_of_ticket(const claim_view& view, const claim_ticket& ticket)
+key_novelty novelty_of_ticket(
+    const claim_decision_inputs& inputs, const claim_ticket& ticket)
 {
-    const bool known = ticket.data_centre == view.data_centre &&
-                       ticket.shard == view.shard &&
-                       ticket.epoch == view.office.epoch &&
-                       ticket.generation <= view.office.generation &&
-                       ticket.generation + 1 >= view.office.generation;
-    return known ? key_novelty::certain : key_novelty::uncertain;
+    const bool known = ticket.data_centre == inputs.data_centre &&
+                       ticket.shard == inputs.shard &&
+                       ticket.epoch == inputs.lease.epoch &&
+                       ticket.generation <= inputs.lease.generation &&
+                       ticket.generation + 1 >= inputs.lease.generation;
+    return known ? key_novelty::unused : key_novelty::possibly_used;
 }
 
 key_novelty novelty_of_time(
-    const claim_view& view, std::uint64_t issued_ms, time_point since,
-    time_point now)
+    const claim_decision_inputs& inputs, std::uint64_t issued_ms,
+    time_point since, time_point now)
 {
-    if (issued_ms > view.wall_clock_ms + wall_clock_tolerance_ms)
+    if (issued_ms > inputs.wall_clock_ms + wall_clock_tolerance_ms)
     {
-        return key_novelty::premature;
+        return key_novelty::in_future;
     }
     const auto held_ms =
         static_cast<std::uint64_t>(to_milliseconds(now - since));
     // An earlier steward granted keys up to the tolerance ahead of its own
     // clock, which differs from this one's by as much again.
     const std::uint64_t watermark =
-        view.wall_clock_ms - held_ms + 2 * wall_clock_tolerance_ms;
+        inputs.wall_clock_ms - held_ms + 2 * wall_clock_tolerance_ms;
     const auto retention_ms =
-        static_cast<std::uint64_t>(to_milliseconds(view.retention));
-    const bool recent = issued_ms + retention_ms > view.wall_clock_ms;
-    return issued_ms > watermark && recent ? key_novelty::certain
-                                           : key_novelty::uncertain;
+        static_cast<std::uint64_t>(to_milliseconds(inputs.retention));
+    const bool recent = issued_ms + retention_ms > inputs.wall_clock_ms;
+    return issued_ms > watermark && recent ? key_novelty::unused
+                                           : key_novelty::possibly_used;
 }
 
-key_novelty
-novelty_of(const claim_view& view, const std::string& key, time_point now)
+key_novelty novelty_of(
+    const claim_decision_inputs& inputs, const std::string& key, time_point now)
 {
     if (const auto ticket = parse_ticket(key))
     {
-        return novelty_of_ticket(view, *ticket);
+        return novelty_of_ticket(inputs, *ticket);
     }
-    const time_point since = std::max(view.office.since, view.home_since);
+    const time_point since = std::max(inputs.lease.since, inputs.home_since);
     if (const auto issued_ms = uuid_time_ms(key))
     {
-        return novelty_of_time(view, *issued_ms, since, now);
+        return novelty_of_time(inputs, *issued_ms, since, now);
     }
-    const bool waited = now - since >= giver_term(view.retention);
-    return waited ? key_novelty::certain : key_novelty::uncertain;
+    const bool waited = now - since >= giver_term(inputs.retention);
+    return waited ? key_novelty::unused : key_novelty::possibly_used;
 }
 
-claim_decision decide_again(
-    const claim_record& record, std::uint64_t digest, const claim_asker& asker,
-    time_point now)
+claim_decision decide_repeat(
+    const claim_record& record, std::uint64_t digest,
+    const claim_requester& requester, time_point now)
 {
     if (record.digest != digest)
     {
@@ -91,7 +91,7 @@
     {
         return {claim_status::unknown, 0, {}, {}};
     }
-    if (record.asker == asker)
+    if (record.requester == requester)
     {
         return {
             claim_status::granted,
@@ -106,29 +106,30 @@
 } // namespace
 
 claim_decision decide_claim(
-    claim_records& records, const claim_view& view, const claim_name& name,
-    std::uint64_t digest, const claim_asker& asker, time_point now)
+    claim_records& records, const claim_decision_inputs& inputs,
+    const claim_key& name, std::uint64_t digest,
+    const claim_requester& requester, time_point now)
 {
     if (const auto found = records.entries.find(name);
         found != records.entries.end())
     {
         claim_decision decision =
-            decide_again(found->second, digest, asker, now);
+            decide_repeat(found->second, digest, requester, now);
         if (decision.status == claim_status::granted &&
-            found->second.epoch != view.office.epoch)
+            found->second.epoch != inputs.lease.epoch)
         {
-            // Another steward may have been in office since.
+            // Another steward may have been in lease since.
             decision = {claim_status::unknown, 0, {}, {}};
         }
         return decision;
     }
-    switch (novelty_of(view, name.key, now))
+    switch (novelty_of(inputs, name.key, now))
     {
-    case key_novelty::uncertain:
+    case key_novelty::possibly_used:
         return {claim_status::unknown, 0, {}, {}};
-    case key_novelty::premature:
+    case key_novelty::in_future:
         return {};
-    case key_novelty::certain:
+    case key_novelty::unused:
         break;
     }
     if (records.entries.size() >= max_records)
@@ -136,21 +137,21 @@
         return {};
     }
     claim_record record;
-    record.asker = asker;
+    record.requester = requester;
     record.digest = digest;
-    record.epoch = view.office.epoch;
-    record.claim_id = (static_cast<std::uint64_t>(view.data_centre) << 32) |
-                      (static_cast<std::uint64_t>(view.shard) << 24) |
-                      (++records.last_number & number_mask);
+    record.epoch = inputs.lease.epoch;
+    record.claim_id = (static_cast<std::uint64_t>(inputs.data_centre) << 32) |
+                      (static_cast<std::uint64_t>(inputs.shard) << 24) |
+                      (++records.last_claim_number & claim_number_mask);
     record.granted_at = now;
-    record.term_ends_at = now + giver_term(view.claim_term);
+    record.term_ends_at = now + giver_term(inputs.claim_term);
     const std::uint64_t claim_id = record.claim_id;
     records.entries.emplace(name, std::move(record));
-    return {claim_status::granted, claim_id, view.claim_term, {}};
+    return {claim_status::granted, claim_id, inputs.claim_term, {}};
 }
 
 void complete_claim(
-    claim_records& records, const claim_name& name, std::uint64_t epoch,
+    claim_records& records, const claim_key& name, std::uint64_t epoch,
     std::uint64_t claim_id, outcome result, const stored_reply& reply)
 {
     const auto found = records.entries.find(name);
@@ -180,18 +181,19 @@
 }
 
 void withdraw_claim(
-    claim_records& records, const claim_name& name, const claim_asker& asker)
+    claim_records& records, const claim_key& name,
+    const claim_requester& requester)
 {
     const auto found = records.entries.find(name);
-    if (found != records.entries.end() && found->second.asker == asker &&
+    if (found != records.entries.end() &&
+        found->second.requester == requester &&
         found->second.state == claim_record_state::in_progress)
     {
         records.entries.erase(found);
     }
 }
 
-void forget_old_claims(
-    claim_records& records, duration retention, time_point now)
+void expire_claims(claim_records& records, duration retention, time_point now)
 {
     std::erase_if(
         records.entries,
--- a/src/core/claims/records.hpp
+++ b/src/core/claims/records.hpp
@@ -20,18 +20,18 @@
 };
 
 // Who asked; a repeat of the same question gets the same answer.
-struct claim_asker
+struct claim_requester
 {
     host_id host = host_id::none;
-    incarnation life = 0;
+    incarnation requester_incarnation = 0;
     claim_token token = 0;
-    bool operator==(const claim_asker&) const = default;
+    bool operator==(const claim_requester&) const = default;
 };
 
 struct claim_record
 {
     claim_record_state state = claim_record_state::in_progress;
-    claim_asker asker;
+    claim_requester requester;
     std::uint64_t digest = 0;
     std::uint64_t epoch = 0;
     std::uint64_t claim_id = 0;
@@ -41,11 +41,11 @@
     stored_reply reply;
 };
 
-struct claim_name
+struct claim_key
 {
     workspace_id workspace = workspace_id::none;
     std::string key;
-    bool operator<(const claim_name& other) const
+    bool operator<(const claim_key& other) const
     {
         return workspace != other.workspace ? workspace < other.workspace
                                             : key < other.key;
@@ -54,14 +54,14 @@
 
 struct claim_records
 {
-    std::map<claim_name, claim_record> entries;
-    std::uint64_t last_number = 0;
+    std::map<claim_key, claim_record> entries;
+    std::uint64_t last_claim_number = 0;
 };
 
 // What the steward knows while it decides.
-struct claim_view
+struct claim_decision_inputs
 {
-    steward_office office;
+    steward_office lease;
     // When this data centre became the home of the keys that are hashed to it.
     time_point home_since{};
     data_centre_id data_centre = data_centre_id::none;
@@ -83,10 +83,11 @@
 // the future is not granted.
 constexpr std::uint64_t wall_clock_tolerance_ms = 5000;
 
-// Decides on a question and records what it grants. The office must be held.
+// Decides on a question and records what it grants. The lease must be held.
 [[nodiscard]] claim_decision decide_claim(
-    claim_records& records, const claim_view& view, const claim_name& name,
-    std::uint64_t digest, const claim_asker& asker, time_point now);
+    claim_records& records, const claim_decision_inputs& inputs,
+    const claim_key& name, std::uint64_t digest,
+    const claim_requester& requester, time_point now);
 
 // The shard and data centre in a claim's id, for the last gate.
 [[nodiscard]] constexpr std::uint64_t claim_scope(std::uint64_t claim_id)
@@ -96,15 +97,15 @@
 
 // Takes in how a claimed request ended; safe to repeat.
 void complete_claim(
-    claim_records& records, const claim_name& name, std::uint64_t epoch,
+    claim_records& records, const claim_key& name, std::uint64_t epoch,
     std::uint64_t claim_id, outcome result, const stored_reply& reply);
 
-// The asker has given up its question and will not use any answer to it.
+// The requester has given up its question and will not use any answer to it.
 void withdraw_claim(
-    claim_records& records, const claim_name& name, const claim_asker& asker);
+    claim_records& records, const claim_key& name,
+    const claim_requester& requester);
 
 // Forgets records that no key can refer to any more.
-void forget_old_claims(
-    claim_records& records, duration retention, time_point now);
+void expire_claims(claim_records& records, duration retention, time_point now);
 
 } // namespace cyclamenhold
--- a/src/core/claims/steward.cpp
+++ b/src/core/claims/steward.cpp
@@ -1,5 +1,5 @@
+#include "core/claims/claims_context.hpp"
 #include "core/claims/key.hpp"
-#include "core/claims/step.hpp"
 
 #include <algorithm>
 
@@ -16,70 +16,71 @@
 
 // Keys are hashed over the data centres of the configuration. When these
 // change, another data centre may have granted what is now asked here.
-void follow_homes(claims_step& step)
+void update_homes(claims_context& context)
 {
     XXH64_hash_t digest = 0;
-    for (const auto& entry : step.inputs.current.data_centres)
+    for (const auto& entry : context.inputs.current.data_centres)
     {
         digest =
             XXH3_64bits_withSeed(entry.name.data(), entry.name.size(), digest);
     }
-    claims_state& state = step.state;
+    claims_state& state = context.state;
     if (digest == state.homes_digest)
     {
         return;
     }
     if (state.homes_digest != 0)
     {
-        state.homes_since = step.now;
+        state.homes_changed_at = context.now;
     }
     state.homes_digest = digest;
 }
 
 // How long a record may be needed: a ticket is good for two generations.
-duration record_time(const claims_state& state)
+duration record_lifetime(const claims_state& state)
 {
     return std::max(state.settings.retention, 2 * claim_generation_time) +
            2 * state.settings.claim_term;
 }
 
-claim_asker asker_of(host_id from, std::uint64_t life, claim_token token)
+claim_requester requester_of(
+    host_id from, std::uint64_t requester_incarnation, claim_token token)
 {
-    return {from, life, token};
+    return {from, requester_incarnation, token};
 }
 
 } // namespace
 
-void on_claim_question(
-    claims_step& step, host_id from, const wire_claims::question_data& in)
+void on_claim_request(
+    claims_context& context, host_id from, const wire_claims::question_data& in)
 {
-    claims_state& state = step.state;
-    follow_homes(step);
-    const claim_home home = home_of(step.inputs.current, in.key);
-    const steward_office office =
-        rates_office(step.inputs.rates, home.shard, step.now);
+    claims_state& state = context.state;
+    update_homes(context);
+    const claim_home home = home_of(context.inputs.current, in.key);
+    const steward_office lease =
+        rates_office(context.inputs.rates, home.shard, context.now);
     wire_claims::answer_data answer;
     answer.token = in.token;
-    if (home.data_centre != state.settings.data_centre || office.epoch == 0)
+    if (home.data_centre != state.settings.data_centre || lease.epoch == 0)
     {
         answer.status = wire_claims::answer_status::not_steward;
-        send_claims_message(step, from, std::move(answer));
+        send_claims_message(context, from, std::move(answer));
         return;
     }
-    const claim_view view{
-        office,
-        state.homes_since,
+    const claim_decision_inputs decision_inputs{
+        lease,
+        state.homes_changed_at,
         state.settings.data_centre,
         home.shard,
-        step.inputs.wall_clock_ms,
+        context.inputs.wall_clock_ms,
         state.settings.retention,
         state.settings.claim_term};
     const auto decision = decide_claim(
-        state.records[home.shard], view,
+        state.records[home.shard], decision_inputs,
         {static_cast<workspace_id>(in.workspace), in.key}, in.digest,
-        asker_of(from, in.incarnation, in.token), step.now);
+        requester_of(from, in.incarnation, in.token), context.now);
     answer.status = static_cast<wire_claims::answer_status>(decision.status);
-    answer.epoch = office.epoch;
+    answer.epoch = lease.epoch;
     answer.claim_id = decision.claim_id;
     answer.term_us = static_cast<std::uint64_t>(
         std::chrono::duration_cast<std::chrono::microseconds>(decision.term)
@@ -88,24 +89,26 @@
     answer.content_type = decision.reply.content_type;
     answer.body = decision.reply.body;
     const bool granted = decision.status == claim_status::granted;
-    step.actions.events.push_back(
+    context.actions.events.push_back(
         {granted ? event_kind::claim_granted : event_kind::claim_refused,
          {},
          static_cast<workspace_id>(in.workspace),
          from,
          ""});
-    send_claims_message(step, from, std::move(answer));
+    send_claims_message(context, from, std::move(answer));
 }
 
 void on_claim_completion(
-    claims_step& step, host_id from, const wire_claims::completion_data& in)
+    claims_context& context, host_id from,
+    const wire_claims::completion_data& in)
 {
-    const claim_home home = home_of(step.inputs.current, in.key);
-    claim_records& records = step.state.records[home.shard];
-    const claim_name name{static_cast<workspace_id>(in.workspace), in.key};
+    const claim_home home = home_of(context.inputs.current, in.key);
+    claim_records& records = context.state.records[home.shard];
+    const claim_key name{static_cast<workspace_id>(in.workspace), in.key};
     if (in.claim_id == 0)
     {
-        withdraw_claim(records, name, asker_of(from, in.incarnation, in.token));
+        withdraw_claim(
+            records, name, requester_of(from, in.incarnation, in.token));
     }
     else if (in.result <= static_cast<std::uint8_t>(outcome::unknown))
     {
@@ -116,34 +119,34 @@
     }
     wire_claims::completion_ack_data ack;
     ack.sequence = in.sequence;
-    send_claims_message(step, from, ack);
+    send_claims_message(context, from, ack);
 }
 
-void keep_records(claims_step& step)
+void tick_records(claims_context& context)
 {
-    follow_homes(step);
-    claims_state& state = step.state;
-    if (step.now < state.next_cleanup_at)
+    update_homes(context);
+    claims_state& state = context.state;
+    if (context.now < state.next_cleanup_at)
     {
         return;
     }
-    state.next_cleanup_at = step.now + cleanup_interval;
+    state.next_cleanup_at = context.now + cleanup_interval;
     for (auto& records : state.records)
     {
-        forget_old_claims(records, record_time(state), step.now);
+        expire_claims(records, record_lifetime(state), context.now);
     }
-    for (auto& [epoch, claims] : state.held)
+    for (auto& [epoch, claims] : state.held_claims)
     {
         std::erase_if(
             claims,
-            [&step, &state](const auto& entry)
+            [&context, &state](const auto& entry)
             {
                 return entry.second.valid_until + state.settings.retention <
-                       step.now;
+                       context.now;
             });
     }
     std::erase_if(
-        state.held,
+        state.held_claims,
         [](const auto& entry)
         {
             return entry.second.empty();
--- a/src/core/configuration/chain_peers.cpp
+++ b/src/core/configuration/chain_peers.cpp
@@ -178,7 +178,7 @@
     if (random_fraction(random) < far_share)
     {
         send(
-            pick_far_host(members, random), message, transport::datagram,
+            pick_remote_host(members, random), message, transport::datagram,
             actions);
     }
 }
--- a/src/core/configuration/chain_upkeep.cpp
+++ b/src/core/configuration/chain_upkeep.cpp
@@ -191,7 +191,7 @@
     const bool enough_changes =
         state.current->revision >=
         upkeep.snapshot_revision + changes_between_snapshots;
-    if (!enough_changes || !is_chosen_member(members, upkeep_salt, 1))
+    if (!enough_changes || !is_rendezvous_member(members, upkeep_salt, 1))
     {
         return;
     }
--- a/src/core/configuration/chain_watch.cpp
+++ b/src/core/configuration/chain_watch.cpp
@@ -257,8 +257,8 @@
     if (now >= watch.next_choice_at)
     {
         watch.next_choice_at = now + jittered(choice_interval, random);
-        watch.chosen =
-            is_chosen_member(members, watcher_salt, watchers_per_data_centre);
+        watch.chosen = is_rendezvous_member(
+            members, watcher_salt, watchers_per_data_centre);
     }
     if (!watch.chosen)
     {
--- a/src/core/configuration/fleet_status.cpp
+++ b/src/core/configuration/fleet_status.cpp
@@ -29,7 +29,7 @@
         ++status.confirmed;
         return;
     }
-    if (known.heard_at <= chain.applied_at)
+    if (known.last_contact_at <= chain.applied_at)
     {
         ++status.unconfirmed;
         return;
@@ -93,7 +93,7 @@
         if (link != members.data_centres.end())
         {
             entry.reachable = link->second.reachable;
-            entry.heard_ago = now - link->second.heard_at;
+            entry.heard_ago = now - link->second.last_contact_at;
         }
     }
     return status;
--- a/src/core/membership/digests.cpp
+++ b/src/core/membership/digests.cpp
@@ -10,19 +10,20 @@
 using wire::membership::message_body;
 
 // Records in one message of an exchange, some 30 KB.
-constexpr std::size_t records_a_message = 300;
+constexpr std::size_t max_records_per_message = 300;
 // By this the interval grows with each member, so that the cost of exchanges
 // stays bounded.
 constexpr duration interval_per_member = 4ms;
 // One exchange in so many is with another data centre.
-constexpr std::uint64_t far_exchange_share = 4;
+constexpr std::uint64_t exchanges_per_remote_exchange = 4;
 
 void send_records(
-    const membership_state& state, host_id to, std::vector<member_news> records,
-    time_point now, control_actions& actions)
+    const membership_state& state, host_id to,
+    std::vector<member_update> records, time_point now,
+    control_actions& actions)
 {
     auto message = make_message(state, message_body::gossip, now);
-    message.news = std::move(records);
+    message.updates = std::move(records);
     send_message(to, message, transport::stream, actions);
 }
 
@@ -44,7 +45,7 @@
     time_point now, control_actions& actions)
 {
     const auto own = digest_with_self(state);
-    std::vector<member_news> records;
+    std::vector<member_update> records;
     bool differs = false;
     const auto add = [&](host_id host)
     {
@@ -53,8 +54,8 @@
         {
             return;
         }
-        records.push_back(*news_about(state, host));
-        if (records.size() == records_a_message)
+        records.push_back(*make_update(state, host));
+        if (records.size() == max_records_per_message)
         {
             send_records(state, from, std::move(records), now, actions);
             records.clear();
@@ -83,7 +84,7 @@
     }
 }
 
-void advance_digests(
+void tick_digests(
     membership_state& state, time_point now, random_source& random,
     control_actions& actions)
 {
@@ -97,10 +98,11 @@
     state.timers.digest =
         now + interval / 2 +
         from_seconds(to_seconds(interval) * random_fraction(random));
-    const bool far = state.targets.local.empty() ||
-                     random_below(random, far_exchange_share) == 0;
-    const host_id target = far ? pick_far_host(state, random)
-                               : pick_host(state.targets.local, random);
+    const bool remote =
+        state.targets.local.empty() ||
+        random_below(random, exchanges_per_remote_exchange) == 0;
+    const host_id target = remote ? pick_remote_host(state, random)
+                                  : pick_host(state.targets.local, random);
     if (target != host_id::none)
     {
         send_digest(state, target, false, now, actions);
--- a/src/core/membership/digests.hpp
+++ b/src/core/membership/digests.hpp
@@ -20,7 +20,7 @@
     time_point now, control_actions& actions);
 
 // Compares with a random member when due.
-void advance_digests(
+void tick_digests(
     membership_state& state, time_point now, random_source& random,
     control_actions& actions);
 
--- a/src/core/membership/member_table.cpp
+++ b/src/core/membership/member_table.cpp
@@ -34,11 +34,11 @@
         known.upstream.version);
 }
 
-bool is_newer(const member_claim& claim, const member& known)
+bool is_newer(const member_report& report, const member& known)
 {
     return std::tuple(
-               claim.host_incarnation, claim.refutation,
-               static_cast<int>(claim.state)) >
+               report.host_incarnation, report.refutation,
+               static_cast<int>(report.state)) >
            std::tuple(
                known.host_incarnation, known.refutation,
                static_cast<int>(known.state));
@@ -98,12 +98,12 @@
 }
 
 // Only hosts of the same data centre judge each other.
-void follow_suspicion(
+void update_suspicion(
     membership_state& state, const member& known, time_point now)
 {
-    const bool judged = known.state == member_state::suspect &&
-                        known.data_centre == state.settings.data_centre;
-    if (judged)
+    const bool is_tracked = known.state == member_state::suspect &&
+                            known.data_centre == state.settings.data_centre;
+    if (is_tracked)
     {
         state.suspects[known.host] = now + state.settings.suspicion_time;
         return;
@@ -111,84 +111,85 @@
     state.suspects.erase(known.host);
 }
 
-// Answers a claim about this node itself.
-bool refute(membership_state& state, const member_claim& claim)
+// Answers a report about this node itself.
+bool refute(membership_state& state, const member_report& report)
 {
-    if (claim.host_incarnation > state.self_incarnation)
+    if (report.host_incarnation > state.self_incarnation)
     {
-        state.self_incarnation = claim.host_incarnation + 1;
+        state.self_incarnation = report.host_incarnation + 1;
         state.self_refutation = 0;
     }
     else if (
-        claim.host_incarnation == state.self_incarnation &&
-        claim.state != member_state::alive && !state.leaving &&
-        claim.refutation >= state.self_refutation)
+        report.host_incarnation == state.self_incarnation &&
+        report.state != member_state::alive && !state.leaving &&
+        report.refutation >= state.self_refutation)
     {
-        state.self_refutation = claim.refutation + 1;
+        state.self_refutation = report.refutation + 1;
     }
     else
     {
         return false;
     }
     ++state.version;
-    queue_news(state, state.settings.self, true);
+    queue_update(state, state.settings.self, true);
     return true;
 }
 
-member& add_member(membership_state& state, const member_claim& claim)
+member& add_member(membership_state& state, const member_report& report)
 {
-    member& added = state.members[claim.host];
-    added.host = claim.host;
-    added.data_centre = claim.data_centre;
-    // Older than any claim.
+    member& added = state.members[report.host];
+    added.host = report.host;
+    added.data_centre = report.data_centre;
+    // Older than any report.
     added.state = member_state::left;
     return added;
 }
 
-// Takes over a newer claim; the caller keeps the digest in step.
-void take_claim(
-    membership_state& state, member& known, const member_claim& claim,
+// Takes over a newer report; the caller keeps the digest in step.
+void apply_report(
+    membership_state& state, member& known, const member_report& report,
     time_point now, control_actions& actions)
 {
     const bool was_present = is_present(known.state);
     const bool was_alive = known.state == member_state::alive;
-    const bool reborn = claim.host_incarnation != known.host_incarnation;
-    if (reborn)
+    const bool is_new_incarnation =
+        report.host_incarnation != known.host_incarnation;
+    if (is_new_incarnation)
     {
         known.upstream = {};
     }
-    known.host_incarnation = claim.host_incarnation;
-    known.refutation = claim.refutation;
-    known.data_centre = claim.data_centre;
-    known.state = claim.state;
+    known.host_incarnation = report.host_incarnation;
+    known.refutation = report.refutation;
+    known.data_centre = report.data_centre;
+    known.state = report.state;
     known.changed_at = now;
-    follow_suspicion(state, known, now);
-    if (reborn || !was_alive || claim.state != member_state::alive)
+    update_suspicion(state, known, now);
+    if (is_new_incarnation || !was_alive || report.state != member_state::alive)
     {
         emit_state(known, actions);
     }
-    if (is_present(known.state) != was_present || reborn)
+    if (is_present(known.state) != was_present || is_new_incarnation)
     {
         ++state.targets_version;
     }
     ++state.version;
 }
 
-bool is_usable(const member_claim& claim)
+bool is_usable(const member_report& report)
 {
-    return claim.host != host_id::none && claim.host_incarnation != 0;
+    return report.host != host_id::none && report.host_incarnation != 0;
 }
 
 } // namespace
 
-member_claim claim_of(const member& known)
+member_report report_of(const member& known)
 {
     return {
         known.host, known.host_incarnation, known.refutation, known.data_centre,
         known.state};
 }
 
-member_claim own_claim(const membership_state& state)
+member_report own_report(const membership_state& state)
 {
     return {
         state.settings.self, state.self_incarnation, state.self_refutation,
@@ -196,54 +197,54 @@
         state.leaving ? member_state::left : member_state::alive};
 }
 
-bool merge_claim(
-    membership_state& state, const member_claim& claim, time_point now,
+bool merge_report(
+    membership_state& state, const member_report& report, time_point now,
     control_actions& actions)
 {
-    if (!is_usable(claim))
+    if (!is_usable(report))
     {
         return false;
     }
-    if (claim.host == state.settings.self)
+    if (report.host == state.settings.self)
     {
-        return refute(state, claim);
+        return refute(state, report);
     }
-    const auto found = state.members.find(claim.host);
-    if (found == state.members.end() && !is_present(claim.state))
+    const auto found = state.members.find(report.host);
+    if (found == state.members.end() && !is_present(report.state))
     {
         return false;
     }
-    member& known =
-        found == state.members.end() ? add_member(state, claim) : found->second;
-    if (!is_newer(claim, known))
+    member& known = found == state.members.end() ? add_member(state, report)
+                                                 : found->second;
+    if (!is_newer(report, known))
     {
         return false;
     }
-    auto& bucket = state.digest[digest_bucket_of(claim.host)];
+    auto& bucket = state.digest[digest_bucket_of(report.host)];
     bucket ^= hash_entry(known);
-    take_claim(state, known, claim, now, actions);
+    apply_report(state, known, report, now, actions);
     bucket ^= hash_entry(known);
-    queue_news(state, claim.host, false);
+    queue_update(state, report.host, false);
     return true;
 }
 
 bool merge_record(
-    membership_state& state, const member_claim& claim,
+    membership_state& state, const member_report& report,
     const upstream_record& upstream, time_point now, control_actions& actions)
 {
-    const bool changed = merge_claim(state, claim, now, actions);
-    const auto found = state.members.find(claim.host);
+    const bool changed = merge_report(state, report, now, actions);
+    const auto found = state.members.find(report.host);
     if (found == state.members.end())
     {
         return changed;
     }
     member& known = found->second;
-    if (known.host_incarnation != claim.host_incarnation ||
+    if (known.host_incarnation != report.host_incarnation ||
         upstream.version <= known.upstream.version)
     {
         return changed;
     }
-    auto& bucket = state.digest[digest_bucket_of(claim.host)];
+    auto& bucket = state.digest[digest_bucket_of(report.host)];
     bucket ^= hash_entry(known);
     const auto state_before = known.upstream.state;
     known.upstream = upstream;
@@ -253,11 +254,11 @@
         emit_upstream(known, actions);
     }
     ++state.version;
-    queue_news(state, claim.host, true);
+    queue_update(state, report.host, true);
     return true;
 }
 
-void note_heard(
+void record_contact(
     membership_state& state, host_id host, std::uint64_t revision,
     time_point now)
 {
@@ -267,11 +268,11 @@
         return;
     }
     member& known = found->second;
-    known.heard_at = now;
+    known.last_contact_at = now;
     known.revision = revision;
     if (known.data_centre != state.settings.data_centre)
     {
-        state.data_centres[known.data_centre].heard_at = now;
+        state.data_centres[known.data_centre].last_contact_at = now;
     }
     if (revision > state.highest_revision)
     {
@@ -297,14 +298,14 @@
         if (const auto found = state.members.find(host);
             found != state.members.end())
         {
-            member_claim claim = claim_of(found->second);
-            claim.state = member_state::dead;
-            merge_claim(state, claim, now, actions);
+            member_report report = report_of(found->second);
+            report.state = member_state::dead;
+            merge_report(state, report, now, actions);
         }
     }
 }
 
-void forget_tombstones(membership_state& state, time_point now)
+void expire_tombstones(membership_state& state, time_point now)
 {
     const auto forgotten = std::erase_if(
         state.members,
@@ -312,7 +313,7 @@
         {
             const member& known = item.second;
             return !is_present(known.state) &&
-                   now - known.changed_at > state.settings.tombstone_time;
+                   now - known.changed_at > state.settings.tombstone_retention;
         });
     if (forgotten > 0)
     {
@@ -320,11 +321,11 @@
     }
 }
 
-void queue_news(membership_state& state, host_id host, bool whole_record)
+void queue_update(membership_state& state, host_id host, bool includes_upstream)
 {
-    queued_news& queued = state.news[host];
+    queued_update& queued = state.updates[host];
     queued.transmissions = 0;
-    queued.whole_record = queued.whole_record || whole_record;
+    queued.includes_upstream = queued.includes_upstream || includes_upstream;
 }
 
 void refresh_targets(membership_state& state)
@@ -342,7 +343,7 @@
         if (is_present(known.state))
         {
             auto& list =
-                is_local ? targets.local : targets.far[known.data_centre];
+                is_local ? targets.local : targets.remote[known.data_centre];
             list.push_back(host);
         }
         else if (is_local && known.state == member_state::dead)
@@ -350,7 +351,7 @@
             targets.local_dead.push_back(host);
         }
     }
-    for (const auto& item : targets.far)
+    for (const auto& item : targets.remote)
     {
         state.data_centres.try_emplace(
             item.first, data_centre_link{state.last_tick, true});
--- a/src/core/membership/member_table.hpp
+++ b/src/core/membership/member_table.hpp
@@ -12,7 +12,7 @@
 {
 
 // What is said about a member's state.
-struct member_claim
+struct member_report
 {
     host_id host = host_id::none;
     incarnation host_incarnation = 0;
@@ -27,24 +27,24 @@
     return state == member_state::alive || state == member_state::suspect;
 }
 
-[[nodiscard]] member_claim claim_of(const member& known);
+[[nodiscard]] member_report report_of(const member& known);
 
 // What this node says about itself.
-[[nodiscard]] member_claim own_claim(const membership_state& state);
+[[nodiscard]] member_report own_report(const membership_state& state);
 
-// Takes in a claim if it is newer than what is known. About this node itself,
-// a claim that is wrong is refuted. True when anything changed.
-bool merge_claim(
-    membership_state& state, const member_claim& claim, time_point now,
+// Takes in a report if it is newer than what is known. About this node itself,
+// a report that is wrong is refuted. True when anything changed.
+bool merge_report(
+    membership_state& state, const member_report& report, time_point now,
     control_actions& actions);
 
-// Takes in a claim together with the member's upstream.
+// Takes in a report together with the member's upstream.
 bool merge_record(
-    membership_state& state, const member_claim& claim,
+    membership_state& state, const member_report& report,
     const upstream_record& upstream, time_point now, control_actions& actions);
 
 // Notes that a message came from the member itself.
-void note_heard(
+void record_contact(
     membership_state& state, host_id host, std::uint64_t revision,
     time_point now);
 
@@ -53,10 +53,11 @@
     membership_state& state, time_point now, control_actions& actions);
 
 // Forgets members that have been dead or gone for long.
-void forget_tombstones(membership_state& state, time_point now);
+void expire_tombstones(membership_state& state, time_point now);
 
 // Puts a member, or this node itself, among the news to spread.
-void queue_news(membership_state& state, host_id host, bool whole_record);
+void queue_update(
+    membership_state& state, host_id host, bool includes_upstream);
 
 // Brings `state.targets` up to date with the table.
 void refresh_targets(membership_state& state);
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -37,25 +37,25 @@
     }
     for (auto& [id, link] : state.data_centres)
     {
-        link.heard_at += gap;
+        link.last_contact_at += gap;
     }
 }
 
 void refill_gossip_budget(membership_state& state, time_point now)
 {
     const double rate = state.settings.gossip_bytes_per_second;
-    state.gossip_bytes = std::min(
+    state.gossip_budget_bytes = std::min(
         2.0 * rate,
-        state.gossip_bytes + rate * to_seconds(now - state.last_tick));
+        state.gossip_budget_bytes + rate * to_seconds(now - state.last_tick));
 }
 
 // Notes which data centres are cut off.
-void judge_data_centres(membership_state& state, time_point now)
+void update_reachability(membership_state& state, time_point now)
 {
     for (auto& [id, link] : state.data_centres)
     {
         const bool reachable =
-            now - link.heard_at <= state.settings.data_centre_timeout;
+            now - link.last_contact_at <= state.settings.data_centre_timeout;
         if (reachable != link.reachable)
         {
             link.reachable = reachable;
@@ -64,16 +64,17 @@
     }
 }
 
-void take_contacts(
+void merge_contacts(
     membership_state& state, const membership_message& message, time_point now)
 {
     for (const auto& contact : message.contacts)
     {
-        const time_point heard_at =
+        const time_point last_contact_at =
             now - std::chrono::milliseconds(contact.age_ms);
         if (contact.data_centre == data_centre_id::none)
         {
-            state.platform_read_at = std::max(state.platform_read_at, heard_at);
+            state.platform_read_at =
+                std::max(state.platform_read_at, last_contact_at);
             continue;
         }
         if (contact.data_centre == state.settings.data_centre)
@@ -83,24 +84,25 @@
         const auto found = state.data_centres.find(contact.data_centre);
         if (found != state.data_centres.end())
         {
-            found->second.heard_at = std::max(found->second.heard_at, heard_at);
+            found->second.last_contact_at =
+                std::max(found->second.last_contact_at, last_contact_at);
         }
     }
 }
 
-void take_news(
+void merge_updates(
     membership_state& state, const membership_message& message, time_point now,
     control_actions& actions)
 {
-    for (const auto& news : message.news)
+    for (const auto& updates : message.updates)
     {
-        if (news.whole_record)
+        if (updates.includes_upstream)
         {
-            merge_record(state, news.claim, news.upstream, now, actions);
+            merge_record(state, updates.report, updates.upstream, now, actions);
         }
         else
         {
-            merge_claim(state, news.claim, now, actions);
+            merge_report(state, updates.report, now, actions);
         }
     }
 }
@@ -120,17 +122,17 @@
         return;
     }
     auto correction = make_message(state, message_body::gossip, now);
-    correction.news.push_back({claim_of(known), {}, false});
+    correction.updates.push_back({report_of(known), {}, false});
     send_message(known.host, correction, transport::datagram, actions);
 }
 
 // Takes in what the sender says about itself, and asks for what is missing.
-void take_sender(
+void handle_sender(
     membership_state& state, const membership_message& message, time_point now,
     control_actions& actions)
 {
-    merge_claim(state, message.sender, now, actions);
-    note_heard(state, message.sender.host, message.revision, now);
+    merge_report(state, message.sender, now, actions);
+    record_contact(state, message.sender.host, message.revision, now);
     const auto found = state.members.find(message.sender.host);
     if (found == state.members.end())
     {
@@ -140,20 +142,21 @@
     const bool behind =
         found->second.host_incarnation == message.sender.host_incarnation &&
         found->second.upstream.version < message.sender_upstream_version;
-    // A record among the news settles it.
-    const bool told = std::ranges::any_of(
-        message.news,
-        [&](const member_news& news)
+    // A record among the updates settles it.
+    const bool has_record = std::ranges::any_of(
+        message.updates,
+        [&](const member_update& updates)
         {
-            return news.whole_record && news.claim.host == message.sender.host;
+            return updates.includes_upstream &&
+                   updates.report.host == message.sender.host;
         });
-    if (behind && !told && message.kind != message_body::digest)
+    if (behind && !has_record && message.kind != message_body::digest)
     {
         send_digest(state, message.sender.host, false, now, actions);
     }
 }
 
-void take_body(
+void handle_body(
     membership_state& state, const membership_message& message, time_point now,
     control_actions& actions)
 {
@@ -167,7 +170,7 @@
         relay_ping(state, from, message.sequence, message.target, now, actions);
         return;
     case message_body::ack:
-        take_ack(state, message.sequence, now, actions);
+        handle_ack(state, message.sequence, now, actions);
         return;
     case message_body::digest:
         answer_digest(state, from, message, now, actions);
@@ -212,7 +215,7 @@
     // Zero stands for "unknown" in messages.
     state.self_incarnation = std::max<incarnation>(self, 1);
     state.last_tick = now;
-    state.gossip_bytes = settings.gossip_bytes_per_second;
+    state.gossip_budget_bytes = settings.gossip_bytes_per_second;
     // Nodes that start together do not probe in step.
     const auto spread = [&](duration interval)
     {
@@ -221,7 +224,7 @@
     };
     state.timers.probe = spread(settings.probe_interval);
     state.timers.gossip = now;
-    state.timers.far_probe = spread(settings.far_probe_interval);
+    state.timers.remote_probe = spread(settings.remote_probe_interval);
     state.timers.digest = spread(settings.digest_interval);
     state.timers.dead_probe = spread(settings.dead_probe_interval);
     state.timers.cleanup = now + cleanup_interval;
@@ -236,19 +239,19 @@
     refill_gossip_budget(state, now);
     state.last_tick = now;
     expire_suspects(state, now, actions);
-    advance_probes(state, now, random, actions);
+    tick_probes(state, now, random, actions);
     if (now >= state.timers.gossip)
     {
         state.timers.gossip = now + state.settings.gossip_interval;
         gossip_round(state, now, random, actions);
     }
-    advance_digests(state, now, random, actions);
-    advance_seeds(state, now, random, actions);
-    judge_data_centres(state, now);
+    tick_digests(state, now, random, actions);
+    tick_seeds(state, now, random, actions);
+    update_reachability(state, now);
     if (now >= state.timers.cleanup)
     {
         state.timers.cleanup = now + cleanup_interval;
-        forget_tombstones(state, now);
+        expire_tombstones(state, now);
     }
 }
 
@@ -266,23 +269,23 @@
     {
         return;
     }
-    take_sender(state, *decoded, now, actions);
-    take_contacts(state, *decoded, now);
-    take_news(state, *decoded, now, actions);
-    take_body(state, *decoded, now, actions);
+    handle_sender(state, *decoded, now, actions);
+    merge_contacts(state, *decoded, now);
+    merge_updates(state, *decoded, now, actions);
+    handle_body(state, *decoded, now, actions);
 }
 
 void membership_on_platform_reply(
     membership_state& state, const platform_reply& reply, time_point now,
     random_source& random, control_actions& actions)
 {
-    take_seed_reply(state, reply, now, random, actions);
+    handle_seed_reply(state, reply, now, random, actions);
 }
 
 time_point membership_due(const membership_state& state)
 {
     time_point due = probes_due(state);
-    if (!state.news.empty())
+    if (!state.updates.empty())
     {
         due = std::min(due, state.timers.gossip);
     }
@@ -297,8 +300,8 @@
     state.local_upstream = record;
     state.local_upstream.version = version;
     ++state.version;
-    queue_news(state, state.settings.self, true);
-    push_news(state, now, random, actions);
+    queue_update(state, state.settings.self, true);
+    push_updates(state, now, random, actions);
 }
 
 void membership_leave(
@@ -307,9 +310,9 @@
 {
     state.leaving = true;
     ++state.version;
-    queue_news(state, state.settings.self, true);
-    push_news(state, now, random, actions);
-    drop_seed(state, actions);
+    queue_update(state, state.settings.self, true);
+    push_updates(state, now, random, actions);
+    revoke_seed_entry(state, actions);
 }
 
 std::vector<upstream_location>
@@ -338,7 +341,7 @@
     return locations;
 }
 
-std::vector<host_id> chosen_members(
+std::vector<host_id> rendezvous_members(
     const membership_state& state, std::string_view salt, std::size_t count)
 {
     struct candidate
@@ -373,10 +376,10 @@
     return hosts;
 }
 
-bool is_chosen_member(
+bool is_rendezvous_member(
     const membership_state& state, std::string_view salt, std::size_t count)
 {
-    const auto hosts = chosen_members(state, salt, count);
+    const auto hosts = rendezvous_members(state, salt, count);
     return std::ranges::find(hosts, state.settings.self) != hosts.end();
 }
 
--- a/src/core/membership/membership.hpp
+++ b/src/core/membership/membership.hpp
@@ -47,7 +47,7 @@
     std::uint32_t refutation = 0;
     // When anything was last heard from the host itself, on the local clock;
     // the zero point when never.
-    time_point heard_at{};
+    time_point last_contact_at{};
     // The configuration revision in force there when it was last heard.
     std::uint64_t revision = 0;
     // When the member came into its present state.
@@ -59,7 +59,7 @@
 // that it hears from.
 struct data_centre_link
 {
-    time_point heard_at{};
+    time_point last_contact_at{};
     bool reachable = true;
 };
 
@@ -74,11 +74,11 @@
     duration probe_timeout = 200ms;
     duration suspicion_time = 3s;
     std::uint32_t indirect_probes = 3;
-    // Between two rounds that spread news; quiet without any.
+    // Between two rounds that spread updates; quiet without any.
     duration gossip_interval = 150ms;
     std::uint32_t gossip_fanout = 3;
     // Between two probes of other data centres.
-    duration far_probe_interval = 1s;
+    duration remote_probe_interval = 1s;
     // A data centre not heard from for so long gets no work.
     duration data_centre_timeout = 8s;
     // Between two comparisons with another member; grows with the fleet.
@@ -86,8 +86,8 @@
     // Between two probes of members that are held to be dead.
     duration dead_probe_interval = 3s;
     // How long dead and departed members are remembered.
-    duration tombstone_time = 10min;
-    // Bytes of news a second, on top of the probes.
+    duration tombstone_retention = 10min;
+    // Bytes of updates a second, on top of the probes.
     double gossip_bytes_per_second = 3000.0;
     // Members of each data centre that keep an entry in the platform.
     std::uint32_t seed_count = 3;
@@ -113,14 +113,14 @@
 };
 
 // A change that still has to be told to others.
-struct queued_news
+struct queued_update
 {
     std::uint32_t transmissions = 0;
     // The upstream is told as well as the member's state.
-    bool whole_record = false;
+    bool includes_upstream = false;
 };
 
-enum class seed_step : std::uint8_t
+enum class seed_phase : std::uint8_t
 {
     idle,
     listing,
@@ -133,7 +133,7 @@
 // This node's use of the platform: finding others, and being found.
 struct seed_state
 {
-    seed_step step = seed_step::idle;
+    seed_phase phase = seed_phase::idle;
     std::uint64_t call_id = 0;
     // When a call that was never answered is given up.
     time_point call_expires_at{};
@@ -142,7 +142,7 @@
     std::uint64_t lease = 0;
     // The lease's key has been written.
     bool published = false;
-    // Lists answered so far, up to the number needed before publishing.
+    // Lists answered so remote, up to the number needed before publishing.
     std::uint32_t lists_done = 0;
     std::uint32_t failures = 0;
     std::uint64_t entry_version = 0;
@@ -157,7 +157,7 @@
     // Equal to membership_state::targets_version when up to date.
     std::uint64_t version = 0;
     std::vector<host_id> local;
-    std::map<data_centre_id, std::vector<host_id>> far;
+    std::map<data_centre_id, std::vector<host_id>> remote;
     std::vector<host_id> local_dead;
 };
 
@@ -165,7 +165,7 @@
 {
     time_point probe{};
     time_point gossip{};
-    time_point far_probe{};
+    time_point remote_probe{};
     time_point digest{};
     time_point dead_probe{};
     time_point cleanup{};
@@ -187,7 +187,7 @@
     // The configuration revision in force here; set by the owner, told with
     // each message.
     std::uint64_t own_revision = 0;
-    // When any node, as far as heard, last read the newest revision from the
+    // When any node, as remote as heard, last read the newest revision from the
     // platform; the zero point when never.
     time_point platform_read_at{};
     // The highest revision heard of, and a member that has it.
@@ -198,7 +198,7 @@
 
     // What follows is used by the membership code only.
     std::uint32_t self_refutation = 0;
-    std::map<host_id, queued_news> news;
+    std::map<host_id, queued_update> updates;
     std::map<host_id, time_point> suspects;
     std::array<std::uint32_t, digest_bucket_count> digest{};
     std::uint64_t targets_version = 1;
@@ -210,7 +210,7 @@
     membership_timers timers;
     seed_state seed;
     time_point last_tick{};
-    double gossip_bytes = 0.0;
+    double gossip_budget_bytes = 0.0;
 };
 
 void membership_start(
@@ -249,11 +249,11 @@
 // The `count` members of this node's data centre, itself included, that rank
 // first by rendezvous hashing under `salt`: those that do a job for all. As of
 // the last tick.
-[[nodiscard]] std::vector<host_id> chosen_members(
+[[nodiscard]] std::vector<host_id> rendezvous_members(
     const membership_state& state, std::string_view salt, std::size_t count);
 
 // Whether this node is one of them.
-[[nodiscard]] bool is_chosen_member(
+[[nodiscard]] bool is_rendezvous_member(
     const membership_state& state, std::string_view salt, std::size_t count);
 
 } // namespace cyclamenhold
--- a/src/core/membership/membership_wire.cpp
+++ b/src/core/membership/membership_wire.cpp
@@ -12,21 +12,21 @@
 constexpr std::size_t record_overhead = 64;
 constexpr std::size_t max_service_name_size = 255;
 
-wire_format::member_status to_wire(const member_claim& claim)
+wire_format::member_status to_wire(const member_report& report)
 {
     return {
-        static_cast<std::uint64_t>(claim.host), claim.host_incarnation,
-        claim.refutation, static_cast<std::uint32_t>(claim.data_centre),
-        static_cast<std::uint8_t>(claim.state)};
+        static_cast<std::uint64_t>(report.host), report.host_incarnation,
+        report.refutation, static_cast<std::uint32_t>(report.data_centre),
+        static_cast<std::uint8_t>(report.state)};
 }
 
-bool is_sensible(const wire_format::member_status& status)
+bool is_valid_status(const wire_format::member_status& status)
 {
     return status.host() != 0 && status.incarnation() != 0 &&
            status.state() <= static_cast<std::uint8_t>(member_state::left);
 }
 
-member_claim from_wire(const wire_format::member_status& status)
+member_report from_wire(const wire_format::member_status& status)
 {
     return {
         static_cast<host_id>(status.host()), status.incarnation(),
@@ -34,15 +34,16 @@
         static_cast<member_state>(status.state())};
 }
 
-flatbuffers::Offset<wire_format::member_record>
-write_record(flatbuffers::FlatBufferBuilder& builder, const member_news& news)
+flatbuffers::Offset<wire_format::member_record> write_record(
+    flatbuffers::FlatBufferBuilder& builder, const member_update& updates)
 {
-    const auto service = builder.CreateString(news.upstream.service);
-    const auto status = to_wire(news.claim);
+    const auto service = builder.CreateString(updates.upstream.service);
+    const auto status = to_wire(updates.report);
     return wire_format::Createmember_record(
         builder, &status, service,
-        static_cast<std::uint8_t>(news.upstream.state), news.upstream.slots,
-        news.upstream.connections, news.upstream.version);
+        static_cast<std::uint8_t>(updates.upstream.state),
+        updates.upstream.slots, updates.upstream.connections,
+        updates.upstream.version);
 }
 
 flatbuffers::Offset<void> write_body(
@@ -98,7 +99,7 @@
     const wire_format::member_record& record, membership_message& message)
 {
     const bool is_valid =
-        is_sensible(*record.status()) &&
+        is_valid_status(*record.status()) &&
         record.upstream_state() <=
             static_cast<std::uint8_t>(upstream_state::draining) &&
         (record.service() == nullptr ||
@@ -107,30 +108,32 @@
     {
         return false;
     }
-    member_news news;
-    news.claim = from_wire(*record.status());
-    news.whole_record = true;
-    news.upstream.service =
+    member_update updates;
+    updates.report = from_wire(*record.status());
+    updates.includes_upstream = true;
+    updates.upstream.service =
         record.service() == nullptr ? "" : record.service()->str();
-    news.upstream.state = static_cast<upstream_state>(record.upstream_state());
-    news.upstream.slots = record.slots();
-    news.upstream.connections = record.connections();
-    news.upstream.version = record.upstream_version();
-    message.news.push_back(std::move(news));
+    updates.upstream.state =
+        static_cast<upstream_state>(record.upstream_state());
+    updates.upstream.slots = record.slots();
+    updates.upstream.connections = record.connections();
+    updates.upstream.version = record.upstream_version();
+    message.updates.push_back(std::move(updates));
     return true;
 }
 
-bool read_news(const wire_format::message& table, membership_message& message)
+bool read_updates(
+    const wire_format::message& table, membership_message& message)
 {
     if (table.statuses() != nullptr)
     {
         for (const auto* status : *table.statuses())
         {
-            if (!is_sensible(*status))
+            if (!is_valid_status(*status))
             {
                 return false;
             }
-            message.news.push_back({from_wire(*status), {}, false});
+            message.updates.push_back({from_wire(*status), {}, false});
         }
     }
     if (table.records() == nullptr)
@@ -154,15 +157,15 @@
     flatbuffers::FlatBufferBuilder builder(max_datagram_payload);
     std::vector<wire_format::member_status> statuses;
     std::vector<flatbuffers::Offset<wire_format::member_record>> records;
-    for (const auto& news : message.news)
+    for (const auto& updates : message.updates)
     {
-        if (news.whole_record)
+        if (updates.includes_upstream)
         {
-            records.push_back(write_record(builder, news));
+            records.push_back(write_record(builder, updates));
         }
         else
         {
-            statuses.push_back(to_wire(news.claim));
+            statuses.push_back(to_wire(updates.report));
         }
     }
     std::vector<wire_format::data_centre_contact> contacts;
@@ -199,7 +202,7 @@
     membership_message message;
     message.kind = table.body_type();
     if (message.kind == wire_format::message_body::NONE ||
-        !is_sensible(*table.sender()))
+        !is_valid_status(*table.sender()))
     {
         return std::nullopt;
     }
@@ -216,20 +219,20 @@
         }
     }
     read_body(table, message);
-    if (!read_news(table, message))
+    if (!read_updates(table, message))
     {
         return std::nullopt;
     }
     return message;
 }
 
-std::size_t encoded_size(const member_news& news)
+std::size_t encoded_size(const member_update& updates)
 {
-    if (!news.whole_record)
+    if (!updates.includes_upstream)
     {
         return status_size;
     }
-    return status_size + record_overhead + news.upstream.service.size();
+    return status_size + record_overhead + updates.upstream.service.size();
 }
 
 } // namespace cyclamenhold
--- a/src/core/membership/membership_wire.hpp
+++ b/src/core/membership/membership_wire.hpp
@@ -11,12 +11,12 @@
 namespace cyclamenhold
 {
 
-struct member_news
+struct member_update
 {
-    member_claim claim;
+    member_report report;
     upstream_record upstream;
-    // Without it, only the claim is sent.
-    bool whole_record = false;
+    // Without it, only the report is sent.
+    bool includes_upstream = false;
 };
 
 struct data_centre_age
@@ -29,11 +29,11 @@
 {
     wire::membership::message_body kind =
         wire::membership::message_body::gossip;
-    member_claim sender;
+    member_report sender;
     std::uint64_t sender_upstream_version = 0;
     std::uint64_t revision = 0;
     std::vector<data_centre_age> contacts;
-    std::vector<member_news> news;
+    std::vector<member_update> updates;
     // Of ping, ping_request and ack.
     std::uint64_t sequence = 0;
     // Of ping_request.
@@ -50,7 +50,7 @@
 [[nodiscard]] std::optional<membership_message>
 decode_membership_message(std::span<const std::uint8_t> bytes);
 
-// The bytes that one piece of news adds to a message, at most.
-[[nodiscard]] std::size_t encoded_size(const member_news& news);
+// The bytes that one piece of updates adds to a message, at most.
+[[nodiscard]] std::size_t encoded_size(const member_update& updates);
 
 } // namespace cyclamenhold
--- a/src/core/membership/probing.cpp
+++ b/src/core/membership/probing.cpp
@@ -12,7 +12,7 @@
 using wire::membership::message_body;
 
 // How long a relayed probe's answer is waited for.
-constexpr duration relay_time = 2s;
+constexpr duration relay_timeout = 2s;
 
 void send_ping(
     membership_state& state, host_id target, std::uint64_t sequence,
@@ -23,9 +23,9 @@
     if (const auto found = state.members.find(target);
         found != state.members.end())
     {
-        add_doubt(found->second, message);
+        add_report_to_refute(found->second, message);
     }
-    send_with_news(state, target, std::move(message), actions);
+    send_with_updates(state, target, std::move(message), actions);
 }
 
 // The next member in a random order in which each comes once a turn.
@@ -67,7 +67,7 @@
     send_ping(state, target, sequence, now, actions);
 }
 
-void ask_helpers(
+void send_ping_requests(
     membership_state& state, time_point now, random_source& random,
     control_actions& actions)
 {
@@ -82,7 +82,7 @@
         // Where the data centre has too few members, others help.
         const host_id helper = draw < 2 * wanted
                                    ? pick_host(state.targets.local, random)
-                                   : pick_far_host(state, random);
+                                   : pick_remote_host(state, random);
         if (helper != host_id::none && helper != active.target &&
             std::ranges::find(helpers, helper) == helpers.end())
         {
@@ -94,7 +94,7 @@
         auto message = make_message(state, message_body::ping_request, now);
         message.sequence = active.sequence;
         message.target = active.target;
-        send_with_news(state, helper, std::move(message), actions);
+        send_with_updates(state, helper, std::move(message), actions);
     }
 }
 
@@ -109,12 +109,12 @@
     {
         return;
     }
-    member_claim claim = claim_of(found->second);
-    claim.state = member_state::suspect;
-    merge_claim(state, claim, now, actions);
+    member_report report = report_of(found->second);
+    report.state = member_state::suspect;
+    merge_report(state, report, now, actions);
 }
 
-void advance_active_probe(
+void tick_active_probe(
     membership_state& state, time_point now, random_source& random,
     control_actions& actions)
 {
@@ -130,27 +130,27 @@
     if (now >= state.active_probe->indirect_at &&
         !state.active_probe->indirect_sent)
     {
-        ask_helpers(state, now, random, actions);
+        send_ping_requests(state, now, random, actions);
     }
 }
 
 } // namespace
 
-void advance_probes(
+void tick_probes(
     membership_state& state, time_point now, random_source& random,
     control_actions& actions)
 {
-    advance_active_probe(state, now, random, actions);
+    tick_active_probe(state, now, random, actions);
     refresh_targets(state);
     if (now >= state.timers.probe)
     {
         state.timers.probe = now + state.settings.probe_interval;
         start_probe(state, now, random, actions);
     }
-    if (now >= state.timers.far_probe)
+    if (now >= state.timers.remote_probe)
     {
-        state.timers.far_probe = now + state.settings.far_probe_interval;
-        if (const host_id target = pick_far_host(state, random);
+        state.timers.remote_probe = now + state.settings.remote_probe_interval;
+        if (const host_id target = pick_remote_host(state, random);
             target != host_id::none)
         {
             send_ping(state, target, state.next_sequence++, now, actions);
@@ -175,7 +175,7 @@
 
 time_point probes_due(const membership_state& state)
 {
-    time_point due = std::min(state.timers.probe, state.timers.far_probe);
+    time_point due = std::min(state.timers.probe, state.timers.remote_probe);
     if (state.active_probe.has_value())
     {
         const probe& active = *state.active_probe;
@@ -191,7 +191,7 @@
 {
     auto message = make_message(state, message_body::ack, now);
     message.sequence = sequence;
-    send_with_news(state, from, std::move(message), actions);
+    send_with_updates(state, from, std::move(message), actions);
 }
 
 void relay_ping(
@@ -199,11 +199,11 @@
     host_id target, time_point now, control_actions& actions)
 {
     const std::uint64_t own_sequence = state.next_sequence++;
-    state.relays[own_sequence] = {origin, sequence, now + relay_time};
+    state.relays[own_sequence] = {origin, sequence, now + relay_timeout};
     send_ping(state, target, own_sequence, now, actions);
 }
 
-void take_ack(
+void handle_ack(
     membership_state& state, std::uint64_t sequence, time_point now,
     control_actions& actions)
 {
@@ -212,7 +212,7 @@
     {
         auto message = make_message(state, message_body::ack, now);
         message.sequence = relay->second.origin_sequence;
-        send_with_news(
+        send_with_updates(
             state, relay->second.origin, std::move(message), actions);
         state.relays.erase(relay);
         return;
--- a/src/core/membership/probing.hpp
+++ b/src/core/membership/probing.hpp
@@ -10,11 +10,11 @@
 {
 
 // Does what is due of the probes.
-void advance_probes(
+void tick_probes(
     membership_state& state, time_point now, random_source& random,
     control_actions& actions);
 
-// When advance_probes is due next.
+// When tick_probes is due next.
 [[nodiscard]] time_point probes_due(const membership_state& state);
 
 void answer_ping(
@@ -23,7 +23,7 @@
 void relay_ping(
     membership_state& state, host_id origin, std::uint64_t sequence,
     host_id target, time_point now, control_actions& actions);
-void take_ack(
+void handle_ack(
     membership_state& state, std::uint64_t sequence, time_point now,
     control_actions& actions);
 
--- a/src/core/membership/seeds.cpp
+++ b/src/core/membership/seeds.cpp
@@ -12,16 +12,16 @@
 
 constexpr std::string_view seed_prefix = "seed/";
 constexpr std::string_view seed_salt = "seed";
-constexpr std::uint32_t most_seeds_listed = 256;
+constexpr std::uint32_t max_seeds_listed = 256;
 constexpr duration relist_interval = 30s;
-constexpr duration first_list_spread = 500ms;
-constexpr duration lonely_list_spread = 3s;
-constexpr duration settings_seed_interval = 1s;
-constexpr duration settings_seed_interval_joined = 30s;
-constexpr duration shortest_backoff = 1s;
-constexpr duration longest_backoff = 30s;
+constexpr duration max_first_list_delay = 500ms;
+constexpr duration isolated_relist_interval = 3s;
+constexpr duration configured_seed_interval = 1s;
+constexpr duration configured_seed_interval_joined = 30s;
+constexpr duration min_backoff = 1s;
+constexpr duration max_backoff = 30s;
 // Longer than any call's timeout, by which it should have been answered.
-constexpr duration call_patience = 10s;
+constexpr duration call_timeout = 10s;
 // Lists that must have been read before a node that knows nobody publishes
 // itself; others that start at the same time are found by then.
 constexpr std::uint32_t lists_before_publishing = 2;
@@ -37,7 +37,7 @@
     const std::uint32_t doublings = std::min(seed.failures, 5U);
     ++seed.failures;
     return jittered(
-        std::min(shortest_backoff * (1 << doublings), longest_backoff), random);
+        std::min(min_backoff * (1 << doublings), max_backoff), random);
 }
 
 std::string seed_key(const membership_state& state)
@@ -50,15 +50,15 @@
 }
 
 platform_call& add_call(
-    membership_state& state, platform_operation operation, seed_step step,
+    membership_state& state, platform_operation operation, seed_phase phase,
     control_actions& actions)
 {
     platform_call call;
     call.client = platform_client::membership;
     call.call_id = ++state.seed.call_id;
     call.operation = operation;
-    state.seed.step = step;
-    state.seed.call_expires_at = state.last_tick + call_patience;
+    state.seed.phase = phase;
+    state.seed.call_expires_at = state.last_tick + call_timeout;
     actions.platform_calls.push_back(std::move(call));
     return actions.platform_calls.back();
 }
@@ -66,22 +66,22 @@
 void list_seeds(membership_state& state, control_actions& actions)
 {
     auto& call =
-        add_call(state, platform_operation::list, seed_step::listing, actions);
+        add_call(state, platform_operation::list, seed_phase::listing, actions);
     call.key = seed_prefix;
-    call.limit = most_seeds_listed;
+    call.limit = max_seeds_listed;
 }
 
 void grant_lease(membership_state& state, control_actions& actions)
 {
     auto& call = add_call(
-        state, platform_operation::lease_grant, seed_step::granting, actions);
+        state, platform_operation::lease_grant, seed_phase::granting, actions);
     call.lease_time = state.settings.seed_lease_time;
 }
 
 void write_entry(membership_state& state, control_actions& actions)
 {
     auto& call = add_call(
-        state, platform_operation::compare_and_swap, seed_step::writing,
+        state, platform_operation::compare_and_swap, seed_phase::writing,
         actions);
     call.key = seed_key(state);
     call.value = to_string(state.settings.self);
@@ -92,26 +92,26 @@
 void renew_lease(membership_state& state, control_actions& actions)
 {
     auto& call = add_call(
-        state, platform_operation::lease_renew, seed_step::renewing, actions);
+        state, platform_operation::lease_renew, seed_phase::renewing, actions);
     call.lease = state.seed.lease;
 }
 
 void revoke_lease(membership_state& state, control_actions& actions)
 {
     auto& call = add_call(
-        state, platform_operation::lease_revoke, seed_step::revoking, actions);
+        state, platform_operation::lease_revoke, seed_phase::revoking, actions);
     call.lease = state.seed.lease;
     state.seed.published = false;
     state.seed.lease = 0;
     state.seed.entry_version = 0;
 }
 
-bool knows_anyone(const membership_state& state)
+bool has_known_members(const membership_state& state)
 {
-    return !state.targets.local.empty() || !state.targets.far.empty();
+    return !state.targets.local.empty() || !state.targets.remote.empty();
 }
 
-bool wants_entry(const membership_state& state)
+bool is_entry_needed(const membership_state& state)
 {
     if (state.leaving || state.seed.lists_done == 0)
     {
@@ -122,17 +122,17 @@
     {
         return false;
     }
-    return is_chosen_member(state, seed_salt, state.settings.seed_count);
+    return is_rendezvous_member(state, seed_salt, state.settings.seed_count);
 }
 
-bool wants_list(const membership_state& state)
+bool is_list_needed(const membership_state& state)
 {
     return !state.leaving &&
-           (!knows_anyone(state) ||
-            is_chosen_member(state, seed_salt, state.settings.seed_count));
+           (!has_known_members(state) ||
+            is_rendezvous_member(state, seed_salt, state.settings.seed_count));
 }
 
-void meet(
+void contact_if_unknown(
     membership_state& state, host_id host, time_point now,
     control_actions& actions)
 {
@@ -146,7 +146,7 @@
 }
 
 // Turns to one address of the settings now and then.
-void try_settings_seed(
+void contact_configured_seed(
     membership_state& state, time_point now, random_source& random,
     control_actions& actions)
 {
@@ -155,14 +155,15 @@
     {
         return;
     }
-    const duration interval = knows_anyone(state)
-                                  ? settings_seed_interval_joined
-                                  : settings_seed_interval;
+    const duration interval = has_known_members(state)
+                                  ? configured_seed_interval_joined
+                                  : configured_seed_interval;
     state.seed.next_address_at = now + jittered(interval, random);
-    meet(state, seeds[random_below(random, seeds.size())], now, actions);
+    contact_if_unknown(
+        state, seeds[random_below(random, seeds.size())], now, actions);
 }
 
-void take_list(
+void handle_seed_list(
     membership_state& state, const platform_reply& reply, time_point now,
     random_source& random, control_actions& actions)
 {
@@ -171,15 +172,15 @@
     {
         if (const auto host = parse_host_id(entry.value); host.has_value())
         {
-            meet(state, *host, now, actions);
+            contact_if_unknown(state, *host, now, actions);
         }
     }
     const duration pause =
-        knows_anyone(state) ? relist_interval : lonely_list_spread;
+        has_known_members(state) ? relist_interval : isolated_relist_interval;
     state.seed.next_list_at = now + jittered(pause, random);
 }
 
-void take_granted(
+void handle_lease_grant(
     membership_state& state, const platform_reply& reply,
     control_actions& actions)
 {
@@ -187,7 +188,7 @@
     write_entry(state, actions);
 }
 
-void take_written(
+void handle_entry_written(
     membership_state& state, const platform_reply& reply, time_point now,
     random_source& random)
 {
@@ -200,7 +201,7 @@
 
 // An entry under another lease: of an earlier life, or of a write whose answer
 // was lost.
-void take_conflict(
+void handle_write_conflict(
     membership_state& state, const platform_reply& reply,
     control_actions& actions)
 {
@@ -209,12 +210,12 @@
     write_entry(state, actions);
 }
 
-void take_failure(
-    membership_state& state, seed_step step, time_point now,
+void handle_call_failure(
+    membership_state& state, seed_phase phase, time_point now,
     random_source& random)
 {
     seed_state& seed = state.seed;
-    if (step != seed_step::listing && step != seed_step::renewing)
+    if (phase != seed_phase::listing && phase != seed_phase::renewing)
     {
         // The lease, if there is one, ends by itself.
         seed.lease = 0;
@@ -228,13 +229,13 @@
 void maintain_entry(
     membership_state& state, time_point now, control_actions& actions)
 {
-    const bool wanted = wants_entry(state);
-    if (!wanted && state.seed.lease != 0)
+    const bool is_needed = is_entry_needed(state);
+    if (!is_needed && state.seed.lease != 0)
     {
         revoke_lease(state, actions);
         return;
     }
-    if (!wanted || now < state.seed.next_lease_at)
+    if (!is_needed || now < state.seed.next_lease_at)
     {
         return;
     }
@@ -254,29 +255,30 @@
 {
     state.seed = {};
     state.seed.next_list_at =
-        now +
-        from_seconds(to_seconds(first_list_spread) * random_fraction(random));
+        now + from_seconds(
+                  to_seconds(max_first_list_delay) * random_fraction(random));
     state.seed.next_address_at = now;
-    try_settings_seed(state, now, random, actions);
+    contact_configured_seed(state, now, random, actions);
 }
 
-void advance_seeds(
+void tick_seeds(
     membership_state& state, time_point now, random_source& random,
     control_actions& actions)
 {
-    try_settings_seed(state, now, random, actions);
-    if (state.seed.step != seed_step::idle && now >= state.seed.call_expires_at)
+    contact_configured_seed(state, now, random, actions);
+    if (state.seed.phase != seed_phase::idle &&
+        now >= state.seed.call_expires_at)
     {
-        take_failure(state, state.seed.step, now, random);
-        state.seed.step = seed_step::idle;
+        handle_call_failure(state, state.seed.phase, now, random);
+        state.seed.phase = seed_phase::idle;
     }
-    if (state.seed.step != seed_step::idle || now < state.seed.next_check_at)
+    if (state.seed.phase != seed_phase::idle || now < state.seed.next_check_at)
     {
         return;
     }
     // Choosing looks at all members, so it is not done on each tick.
     state.seed.next_check_at = now + 500ms;
-    if (now >= state.seed.next_list_at && wants_list(state))
+    if (now >= state.seed.next_list_at && is_list_needed(state))
     {
         list_seeds(state, actions);
         return;
@@ -284,24 +286,25 @@
     maintain_entry(state, now, actions);
 }
 
-void take_seed_reply(
+void handle_seed_reply(
     membership_state& state, const platform_reply& reply, time_point now,
     random_source& random, control_actions& actions)
 {
     seed_state& seed = state.seed;
-    if (reply.call_id != seed.call_id || seed.step == seed_step::idle)
+    if (reply.call_id != seed.call_id || seed.phase == seed_phase::idle)
     {
         return;
     }
-    const seed_step step = seed.step;
-    seed.step = seed_step::idle;
-    if (step == seed_step::revoking)
+    const seed_phase phase = seed.phase;
+    seed.phase = seed_phase::idle;
+    if (phase == seed_phase::revoking)
     {
         return;
     }
-    if (step == seed_step::writing && reply.status == platform_status::conflict)
+    if (phase == seed_phase::writing &&
+        reply.status == platform_status::conflict)
     {
-        take_conflict(state, reply, actions);
+        handle_write_conflict(state, reply, actions);
         return;
     }
     if (reply.status == platform_status::lease_expired)
@@ -314,32 +317,32 @@
     }
     if (reply.status != platform_status::ok)
     {
-        take_failure(state, step, now, random);
+        handle_call_failure(state, phase, now, random);
         return;
     }
     seed.failures = 0;
-    switch (step)
+    switch (phase)
     {
-    case seed_step::listing:
-        take_list(state, reply, now, random, actions);
+    case seed_phase::listing:
+        handle_seed_list(state, reply, now, random, actions);
         return;
-    case seed_step::granting:
-        take_granted(state, reply, actions);
+    case seed_phase::granting:
+        handle_lease_grant(state, reply, actions);
         return;
-    case seed_step::writing:
-        take_written(state, reply, now, random);
+    case seed_phase::writing:
+        handle_entry_written(state, reply, now, random);
         return;
-    case seed_step::renewing:
+    case seed_phase::renewing:
         seed.next_lease_at =
             now + jittered(state.settings.seed_lease_time / 3, random);
         return;
-    case seed_step::idle:
-    case seed_step::revoking:
+    case seed_phase::idle:
+    case seed_phase::revoking:
         return;
     }
 }
 
-void drop_seed(membership_state& state, control_actions& actions)
+void revoke_seed_entry(membership_state& state, control_actions& actions)
 {
     if (state.seed.lease != 0)
     {
--- a/src/core/membership/seeds.hpp
+++ b/src/core/membership/seeds.hpp
@@ -12,14 +12,14 @@
 void start_seeds(
     membership_state& state, time_point now, random_source& random,
     control_actions& actions);
-void advance_seeds(
+void tick_seeds(
     membership_state& state, time_point now, random_source& random,
     control_actions& actions);
-void take_seed_reply(
+void handle_seed_reply(
     membership_state& state, const platform_reply& reply, time_point now,
     random_source& random, control_actions& actions);
 
 // Gives up the entry at once.
-void drop_seed(membership_state& state, control_actions& actions);
+void revoke_seed_entry(membership_state& state, control_actions& actions);
 
 } // namespace cyclamenhold
--- a/src/core/membership/sending.hpp
+++ b/src/core/membership/sending.hpp
@@ -7,7 +7,7 @@
 {
 
 // Bytes of news that fit into a datagram beside the rest of a message.
-constexpr std::size_t max_news_size = 850;
+constexpr std::size_t max_updates_size = 850;
 
 // A message of this node without news.
 [[nodiscard]] membership_message make_message(
@@ -15,15 +15,15 @@
     time_point now);
 
 // What is known of one member, or of this node itself.
-[[nodiscard]] std::optional<member_news>
-news_about(const membership_state& state, host_id host);
+[[nodiscard]] std::optional<member_update>
+make_update(const membership_state& state, host_id host);
 
 // Adds what a member should hear about itself, if it is held to be anything but
 // alive, so that it can refute it.
-void add_doubt(const member& known, membership_message& message);
+void add_report_to_refute(const member& known, membership_message& message);
 
 // Adds as many news as fit, those told least often first, and sends.
-void send_with_news(
+void send_with_updates(
     membership_state& state, host_id to, membership_message message,
     control_actions& actions);
 
@@ -37,7 +37,7 @@
 
 // A random member of a random other data centre, or none.
 [[nodiscard]] host_id
-pick_far_host(const membership_state& state, random_source& random);
+pick_remote_host(const membership_state& state, random_source& random);
 
 // Sends news to a few random members, near and far.
 void gossip_round(
@@ -45,7 +45,7 @@
     control_actions& actions);
 
 // Sends news at once to some members here and to two of each data centre.
-void push_news(
+void push_updates(
     membership_state& state, time_point now, random_source& random,
     control_actions& actions);
 
--- a/src/core/request/call.hpp
+++ b/src/core/request/call.hpp
@@ -109,7 +109,7 @@
     // What decided a refusal, for the log.
     std::string inputs;
     stored_reply reply;
-    claim_question question;
+    claim_request question;
     routing_candidate target;
     request_context context;
 };
--- a/tests/core/claims_test.cpp
+++ b/tests/core/claims_test.cpp
@@ -56,7 +56,7 @@
             [&](control_state& control, time_point now, random_source& random,
                 control_actions& actions)
             {
-                claims_ask(
+                claims_request(
                     control.claims, inputs_of_claims(control),
                     {token, school, key, digest, now + 5s, {}}, now, random,
                     actions);
--- a/tests/support/fleet_calls.hpp
+++ b/tests/support/fleet_calls.hpp
@@ -155,7 +155,7 @@
                 [&](control_state& control, time_point now,
                     random_source& random, control_actions& actions)
                 {
-                    claims_ask(
+                    claims_request(
                         control.claims, inputs_of_claims(control),
                         next.question, now, random, actions);
                 });
