--- a/src/core/claims/claim.hpp
+++ b/src/core/claims/claim.hpp
@@ -1,5 +1,6 @@
-// Claims on never-repeat requests, as the request path sees them. Asking takes
-// a round trip to the steward, so the answer comes later
+// Claims on never-repeat requests: the types that the request path uses. A
+// claim is the exclusive right to run a request once. A claim request takes a
+// round trip to the steward, so the answer arrives asynchronously
 // (src/core/claims/claims.hpp).
 #pragma once
 
@@ -11,7 +12,7 @@
 namespace cyclamenhold
 {
 
-// Names a claim that the request path asked for.
+// Identifies a claim request of the request path.
 using claim_token = std::uint64_t;
 
 struct claim_request
@@ -20,7 +21,8 @@
     workspace_id workspace = workspace_id::none;
     // The caller's idempotency key: a ticket, a UUIDv7 or any other text.
     std::string idempotency_key;
-    // Two requests with one key and different digests are a caller's mistake.
+    // Digest of the request. Two requests with the same key and different
+    // digests are a caller's error.
     std::uint64_t digest = 0;
     time_point deadline{};
     trace_id trace;
@@ -29,22 +31,23 @@
 enum class claim_status : std::uint8_t
 {
     granted,
-    // Nothing ran and nothing will under this question: no steward can claim.
+    // No steward granted the claim: the request has not run under this claim
+    // request and will not.
     unavailable,
-    // Another request with this key is under way.
+    // Another request with this key is in progress.
     in_progress,
-    // It ran; the reply is in `status` and `body` when still held.
+    // The request ran; the answer has its reply if that is still stored.
     finished,
-    // It may have run.
+    // The request may have run.
     unknown,
     // The key was used for a different request.
     mismatch
 };
 
-// A short reply kept for repeats of the request.
+// A short reply, stored for repeats of the request.
 struct stored_reply
 {
-    // 0 when the reply is no longer held.
+    // HTTP status; 0 when no reply is stored.
     std::uint16_t status = 0;
     std::string content_type;
     std::string body;
@@ -58,13 +61,13 @@
     stored_reply reply;
 };
 
-// How a claimed request ended.
+// The outcome of a claimed request.
 struct claim_completion
 {
     claim_grant grant;
     workspace_id workspace = workspace_id::none;
     std::string idempotency_key;
-    // `not_run` frees the key for another try.
+    // `not_run` releases the key, so that the request can be tried again.
     outcome result = outcome::unknown;
     stored_reply reply;
 };
--- a/src/core/claims/claim_client.cpp
+++ b/src/core/claims/claim_client.cpp
@@ -11,6 +11,8 @@
 namespace wire_claims = wire::claims;
 
 constexpr duration resend_interval = 150ms;
+// Shorter than the resend interval: the receiver answered `not_steward`, so
+// the request is sent to the current steward without waiting for a timeout.
 constexpr duration not_steward_retry_delay = 50ms;
 constexpr duration first_completion_interval = 200ms;
 constexpr duration max_completion_interval = 5s;
@@ -26,15 +28,17 @@
            found->second.state == member_state::alive;
 }
 
-// The host that should be the steward of a key's home.
+// Returns the expected steward of a key's home. In this data centre, that is
+// the steward reported by its members if it is alive, otherwise the rendezvous
+// winner. For another data centre, it is the winner among its alive members.
 host_id steward_of(const claims_context& context, const claim_home& home)
 {
     const pledge_state& pledges = context.inputs.rates.pledges;
     if (home.data_centre == context.state.settings.data_centre)
     {
-        const host_id heard = pledges.heard[home.shard].steward;
-        return heard != host_id::none && is_alive(context, heard)
-                   ? heard
+        const host_id reported = pledges.heard[home.shard].steward;
+        return reported != host_id::none && is_alive(context, reported)
+                   ? reported
                    : pledges.winners[home.shard];
     }
     std::vector<host_id> hosts;
@@ -56,7 +60,8 @@
     context.state.answers.push_back(answer);
 }
 
-// The steward may have granted what this node will not use.
+// Queues a withdrawal to each contacted steward. A steward may have granted
+// the claim in an answer that was lost; this node does not use that claim.
 void queue_withdrawals(
     claims_context& context, const pending_claim_request& pending)
 {
@@ -99,7 +104,7 @@
         message.content_type = completion.reply.content_type;
         message.body = completion.reply.body;
     }
-    // Sending to this host itself ends the entry at once.
+    // A message to this host itself is handled at once and erases `pending`.
     const host_id steward = pending.steward;
     send_claims_message(context, steward, std::move(message));
 }
--- a/src/core/claims/claims.cpp
+++ b/src/core/claims/claims.cpp
@@ -109,11 +109,12 @@
 std::string claims_issue_ticket(
     claims_state& state, const claims_inputs& inputs, random_source& random)
 {
-    const auto& heard = inputs.rates.pledges.heard;
+    const auto& stewards = inputs.rates.pledges.heard;
     std::vector<std::uint32_t> shards;
     for (std::uint32_t shard = 0; shard < shard_count; ++shard)
     {
-        if (heard[shard].epoch != 0 && heard[shard].steward != host_id::none)
+        if (stewards[shard].epoch != 0 &&
+            stewards[shard].steward != host_id::none)
         {
             shards.push_back(shard);
         }
@@ -124,8 +125,8 @@
     }
     const std::uint32_t shard = shards[random_below(random, shards.size())];
     return to_string(claim_ticket{
-        state.settings.data_centre, shard, heard[shard].epoch,
-        heard[shard].generation, random()});
+        state.settings.data_centre, shard, stewards[shard].epoch,
+        stewards[shard].generation, random()});
 }
 
 bool claims_accept_at_gate(
--- a/src/core/claims/claims.hpp
+++ b/src/core/claims/claims.hpp
@@ -1,5 +1,5 @@
-// Claims on never-repeat requests: contacted_stewards of the steward of the
-// key's shard, and kept there. Runs on the control thread only.
+// Claims on never-repeat requests: a node requests a claim from the steward of
+// the key's shard, which records it. Runs on the control thread only.
 #pragma once
 
 #include "core/base/random.hpp"
@@ -23,12 +23,11 @@
 {
     host_id self = host_id::none;
     data_centre_id data_centre = data_centre_id::none;
-    // How long the outcome of a claimed request is kept.
+    // How long the outcome of a claimed request is stored.
     duration retention = 600s;
-    // How long a claim may be used after it was granted.
+    // How long a claim is valid after it was granted.
     duration claim_term = 30s;
-    // How long a request is contacted_stewards before it is answered
-    // `unavailable`.
+    // A claim request without an answer for this duration ends `unavailable`.
     duration claim_request_timeout = 2s;
 };
 
@@ -37,15 +36,16 @@
     const configuration& current;
     const membership_state& members;
     const rates_state& rates;
-    // The wall clock in milliseconds, only for keys that carry a time.
+    // Milliseconds since the Unix epoch; used only for keys that contain a
+    // time.
     std::uint64_t wall_clock_ms = 0;
 };
 
-// A request of this node that has no answer yet.
+// A claim request of this node that has no answer yet.
 struct pending_claim_request
 {
     claim_request request;
-    // Of the first time it was sent, from which the claim's term counts.
+    // The claim's term starts at the first transmission.
     time_point first_sent_at{};
     time_point next_send_at{};
     time_point expires_at{};
@@ -57,14 +57,14 @@
 {
     host_id steward = host_id::none;
     claim_completion completion;
-    // For a withdrawal, which has no claim.
+    // Identifies the claim request of a withdrawal, which has no claim id.
     claim_token token = 0;
     time_point next_send_at{};
     duration interval{};
     time_point expires_at{};
 };
 
-// A claim this node was granted, until its request ends.
+// A claim granted to this node whose request has not ended.
 struct held_claim
 {
     host_id steward = host_id::none;
@@ -74,20 +74,21 @@
 struct claims_state
 {
     claims_settings settings;
-    // Answers to pending_requests of this node, to be taken by the caller.
+    // Answers to claim requests of this node; the caller removes them.
     std::vector<claim_answer> answers;
-    // What follows is used by the claims code only.
+    // Private to the claims code.
     std::map<claim_token, pending_claim_request> pending_requests;
     std::map<std::uint64_t, pending_completion> completions;
     std::uint64_t last_sequence = 0;
     // By epoch and claim id.
     std::map<std::uint64_t, std::map<std::uint64_t, held_claim>> held_claims;
     std::array<claim_records, shard_count> records;
-    // The data centres that keys are hashed over, and since when.
+    // A hash of the data centres that keys are distributed over, and when it
+    // last changed.
     std::uint64_t homes_digest = 0;
     time_point homes_changed_at = time_point::min();
     time_point next_cleanup_at{};
-    // The newest epoch the last gate has seen of each data centre and shard.
+    // The newest epoch accepted by the upstream gate, by claim_scope.
     std::map<std::uint64_t, std::uint64_t> gate_epochs;
 };
 
@@ -103,26 +104,28 @@
     control_actions& actions);
 [[nodiscard]] time_point claims_due(const claims_state& state);
 
-// Asks for a claim; the answer appears in `state.answers`, at once when this
-// node is the steward.
+// Requests a claim. The answer is added to `state.answers`, before the return
+// when this node is the steward.
 void claims_request(
     claims_state& state, const claims_inputs& inputs,
     const claim_request& request, time_point now, random_source& random,
     control_actions& actions);
 
-// Reports how a claimed request ended. `not_run` may only be reported when
-// the claim will not be used any more.
+// Reports the outcome of a claimed request to the steward. `not_run` is valid
+// only if the claim will not be used again.
 void claims_complete(
     claims_state& state, const claims_inputs& inputs,
     const claim_completion& completion, time_point now, random_source& random,
     control_actions& actions);
 
-// A new ticket of this node's data centre; empty while no steward is known.
+// Returns a new ticket of this node's data centre; empty while no steward is
+// known.
 [[nodiscard]] std::string claims_issue_ticket(
     claims_state& state, const claims_inputs& inputs, random_source& random);
 
-// The last gate's check: false for a claim of an older steward than one that
-// was seen, or whose term has passed. Such a request is refused `not-run`.
+// The upstream gate's check. Returns false for a claim whose term has ended or
+// whose steward epoch is older than one accepted before; the request is then
+// refused as `not-run`.
 [[nodiscard]] bool claims_accept_at_gate(
     claims_state& state, const claim_grant& grant, time_point now);
 
--- a/src/core/claims/claims_context.hpp
+++ b/src/core/claims/claims_context.hpp
@@ -1,4 +1,5 @@
-// What the parts of the claims subsystem are handed while one event is handled.
+// State, inputs, time and actions of one event, for the parts of the claims
+// subsystem.
 #pragma once
 
 #include "core/claims/claims.hpp"
@@ -15,7 +16,7 @@
     control_actions& actions;
 };
 
-// Sends a message; one to this host itself is handled at once.
+// Sends a message. A message to this host itself is handled before the return.
 void send_claims(
     claims_context& context, host_id to, wire::claims::bodyUnion body);
 
@@ -27,7 +28,7 @@
     send_claims(context, to, std::move(body));
 }
 
-// The asking side.
+// The client side (claim_client.cpp).
 void tick_claim_requests(claims_context& context);
 void tick_completions(claims_context& context);
 void send_claim_request(
@@ -37,7 +38,7 @@
 void on_completion_ack(
     claims_context& context, const wire::claims::completion_ack_data& in);
 
-// The steward's side.
+// The steward side (steward.cpp).
 void on_claim_request(
     claims_context& context, host_id from,
     const wire::claims::question_data& in);
--- a/src/core/claims/key.cpp
+++ b/src/core/claims/key.cpp
@@ -16,7 +16,7 @@
 constexpr std::string_view ticket_prefix = "cyt_";
 constexpr std::size_t uuid_size = 36;
 
-// Takes a hexadecimal number up to the next '_' off the front of `text`.
+// Parses a hexadecimal number up to the next '_' and removes both from `text`.
 std::optional<std::uint64_t> consume_hexadecimal(std::string_view& text)
 {
     const auto end = std::min(text.find('_'), text.size());
--- a/src/core/claims/key.hpp
+++ b/src/core/claims/key.hpp
@@ -1,5 +1,5 @@
-// Idempotency keys: tickets of this system, UUIDv7 and any other text; and the
-// data centre and shard where the claim on a key is kept.
+// Idempotency keys: tickets that a node has issued, UUIDv7 and any other text;
+// and the data centre and shard whose steward records the claim on a key.
 #pragma once
 
 #include "core/base/ids.hpp"
@@ -18,7 +18,8 @@
 {
     data_centre_id data_centre = data_centre_id::none;
     std::uint32_t shard = 0;
-    // The stewardship that knows all claims on the ticket.
+    // Epoch of the steward lease under which all claims on the ticket are
+    // recorded.
     std::uint64_t epoch = 0;
     std::uint64_t generation = 0;
     std::uint64_t random = 0;
@@ -28,7 +29,8 @@
 [[nodiscard]] std::string to_string(const claim_ticket& ticket);
 [[nodiscard]] std::optional<claim_ticket> parse_ticket(std::string_view text);
 
-// The time in a UUIDv7, in milliseconds since the Unix epoch.
+// Returns the time in a UUIDv7, in milliseconds since the Unix epoch, or
+// nothing if the text is not a UUIDv7 (RFC 9562).
 [[nodiscard]] std::optional<std::uint64_t> uuid_time_ms(std::string_view text);
 
 struct claim_home
@@ -37,8 +39,8 @@
     std::uint32_t shard = 0;
 };
 
-// Where the claim on a key is kept; data centre `none` when the configuration
-// names no data centres.
+// Returns the home of a key. Its data centre is `none` if the configuration has
+// no data centres and the key is not a ticket.
 [[nodiscard]] claim_home
 home_of(const configuration& current, std::string_view key);
 
--- a/src/core/claims/records.cpp
+++ b/src/core/claims/records.cpp
@@ -13,12 +13,12 @@
 constexpr std::size_t max_records = 50'000;
 constexpr std::uint64_t claim_number_mask = (1ULL << 24) - 1;
 
-// Whether a key without a record can never have been claimed before.
+// Whether a key without a record may have been claimed before.
 enum class key_novelty : std::uint8_t
 {
     unused,
     possibly_used,
-    // It comes from the future, and later stewards could take it for new.
+    // Its time is in the future: a later steward could consider it unused.
     in_future
 };
 
@@ -43,8 +43,9 @@
     }
     const auto held_ms =
         static_cast<std::uint64_t>(to_milliseconds(now - since));
-    // An earlier steward granted keys up to the tolerance ahead of its own
-    // clock, which differs from this one's by as much again.
+    // An earlier steward granted keys with a time of up to the tolerance ahead
+    // of its own clock, and its clock may be ahead of this one by the tolerance
+    // too.
     const std::uint64_t watermark =
         inputs.wall_clock_ms - held_ms + 2 * wall_clock_tolerance_ms;
     const auto retention_ms =
@@ -107,10 +108,10 @@
 
 claim_decision decide_claim(
     claim_records& records, const claim_decision_inputs& inputs,
-    const claim_key& name, std::uint64_t digest,
+    const claim_key& claimed_key, std::uint64_t digest,
     const claim_requester& requester, time_point now)
 {
-    if (const auto found = records.entries.find(name);
+    if (const auto found = records.entries.find(claimed_key);
         found != records.entries.end())
     {
         claim_decision decision =
@@ -118,12 +119,12 @@
         if (decision.status == claim_status::granted &&
             found->second.epoch != inputs.lease.epoch)
         {
-            // Another steward may have been in lease since.
+            // Another node may have held the steward lease in between.
             decision = {claim_status::unknown, 0, {}, {}};
         }
         return decision;
     }
-    switch (novelty_of(inputs, name.key, now))
+    switch (novelty_of(inputs, claimed_key.key, now))
     {
     case key_novelty::possibly_used:
         return {claim_status::unknown, 0, {}, {}};
@@ -146,15 +147,15 @@
     record.granted_at = now;
     record.term_ends_at = now + giver_term(inputs.claim_term);
     const std::uint64_t claim_id = record.claim_id;
-    records.entries.emplace(name, std::move(record));
+    records.entries.emplace(claimed_key, std::move(record));
     return {claim_status::granted, claim_id, inputs.claim_term, {}};
 }
 
 void complete_claim(
-    claim_records& records, const claim_key& name, std::uint64_t epoch,
+    claim_records& records, const claim_key& claimed_key, std::uint64_t epoch,
     std::uint64_t claim_id, outcome result, const stored_reply& reply)
 {
-    const auto found = records.entries.find(name);
+    const auto found = records.entries.find(claimed_key);
     if (found == records.entries.end() || found->second.epoch != epoch ||
         found->second.claim_id != claim_id ||
         found->second.state != claim_record_state::in_progress)
@@ -181,10 +182,10 @@
 }
 
 void withdraw_claim(
-    claim_records& records, const claim_key& name,
+    claim_records& records, const claim_key& claimed_key,
     const claim_requester& requester)
 {
-    const auto found = records.entries.find(name);
+    const auto found = records.entries.find(claimed_key);
     if (found != records.entries.end() &&
         found->second.requester == requester &&
         found->second.state == claim_record_state::in_progress)
--- a/src/core/claims/records.hpp
+++ b/src/core/claims/records.hpp
@@ -1,4 +1,4 @@
-// A steward's memory of claims, and the decision on a question.
+// A steward's records of claims, and the decision on a claim request.
 #pragma once
 
 #include "core/claims/claim.hpp"
@@ -13,13 +13,13 @@
 
 enum class claim_record_state : std::uint8_t
 {
-    // Granted; unknown once its term has passed.
+    // Granted; treated as unknown after the end of its term.
     in_progress,
     finished,
     unknown
 };
 
-// Who asked; a repeat of the same question gets the same answer.
+// Identifies a claim request; a repeat of it gets the same answer.
 struct claim_requester
 {
     host_id host = host_id::none;
@@ -36,7 +36,7 @@
     std::uint64_t epoch = 0;
     std::uint64_t claim_id = 0;
     time_point granted_at{};
-    // Counted by the steward, from its answer.
+    // By the steward's clock, from the time of its answer.
     time_point term_ends_at{};
     stored_reply reply;
 };
@@ -58,11 +58,12 @@
     std::uint64_t last_claim_number = 0;
 };
 
-// What the steward knows while it decides.
+// The steward's state that a decision depends on.
 struct claim_decision_inputs
 {
     steward_office lease;
-    // When this data centre became the home of the keys that are hashed to it.
+    // When the distribution of keys over data centres last changed: claims on
+    // this data centre's keys may have been granted elsewhere before.
     time_point home_since{};
     data_centre_id data_centre = data_centre_id::none;
     std::uint32_t shard = 0;
@@ -79,33 +80,36 @@
     stored_reply reply;
 };
 
-// Wall clocks of nodes differ by at most this much; a timed key further in
-// the future is not granted.
+// The largest assumed difference between the wall clocks of two nodes. A key
+// whose time is further in the future is not granted.
 constexpr std::uint64_t wall_clock_tolerance_ms = 5000;
 
-// Decides on a question and records what it grants. The lease must be held.
+// Decides on a claim request and records the claim if granted. This node must
+// hold the steward lease.
 [[nodiscard]] claim_decision decide_claim(
     claim_records& records, const claim_decision_inputs& inputs,
-    const claim_key& name, std::uint64_t digest,
+    const claim_key& claimed_key, std::uint64_t digest,
     const claim_requester& requester, time_point now);
 
-// The shard and data centre in a claim's id, for the last gate.
+// Returns the data centre and shard in a claim id, for the upstream gate.
 [[nodiscard]] constexpr std::uint64_t claim_scope(std::uint64_t claim_id)
 {
     return claim_id >> 24;
 }
 
-// Takes in how a claimed request ended; safe to repeat.
+// Records the outcome of a claimed request. Idempotent.
 void complete_claim(
-    claim_records& records, const claim_key& name, std::uint64_t epoch,
+    claim_records& records, const claim_key& claimed_key, std::uint64_t epoch,
     std::uint64_t claim_id, outcome result, const stored_reply& reply);
 
-// The requester has given up its question and will not use any answer to it.
+// Deletes a claim in progress of a request that its requester has abandoned.
+// The requester uses no later answer to it.
 void withdraw_claim(
-    claim_records& records, const claim_key& name,
+    claim_records& records, const claim_key& claimed_key,
     const claim_requester& requester);
 
-// Forgets records that no key can refer to any more.
+// Deletes records that are older than `retention`, to which no valid key can
+// refer.
 void expire_claims(claim_records& records, duration retention, time_point now);
 
 } // namespace cyclamenhold
--- a/src/core/claims/steward.cpp
+++ b/src/core/claims/steward.cpp
@@ -14,8 +14,9 @@
 
 constexpr duration cleanup_interval = 10s;
 
-// Keys are hashed over the data centres of the configuration. When these
-// change, another data centre may have granted what is now asked here.
+// Keys are distributed over the data centres of the configuration by hash.
+// When the data centres change, another one may have granted a claim on a key
+// whose home is now here.
 void update_homes(claims_context& context)
 {
     XXH64_hash_t digest = 0;
@@ -36,7 +37,7 @@
     state.homes_digest = digest;
 }
 
-// How long a record may be needed: a ticket is good for two generations.
+// How long a record is stored. A ticket is valid for two generations.
 duration record_lifetime(const claims_state& state)
 {
     return std::max(state.settings.retention, 2 * claim_generation_time) +
@@ -104,7 +105,8 @@
 {
     const claim_home home = home_of(context.inputs.current, in.key);
     claim_records& records = context.state.records[home.shard];
-    const claim_key name{static_cast<workspace_id>(in.workspace), in.key};
+    const claim_key claimed_key{
+        static_cast<workspace_id>(in.workspace), in.key};
     if (in.claim_id == 0)
     {
         withdraw_claim(
@@ -113,7 +115,7 @@
     else if (in.result <= static_cast<std::uint8_t>(outcome::unknown))
     {
         complete_claim(
-            records, name, in.epoch, in.claim_id,
+            records, claimed_key, in.epoch, in.claim_id,
             static_cast<outcome>(in.result),
             {in.http_status, in.content_type, in.body});
     }
