--- a/src/core/membership/digests.cpp
+++ b/src/core/membership/digests.cpp
@@ -9,12 +9,12 @@
 
 using wire::membership::message_body;
 
-// Records in one message of an exchange, some 30 KB.
+// Largest number of member records in one message, about 30 KB.
 constexpr std::size_t max_records_per_message = 300;
-// By this the interval grows with each member, so that the cost of exchanges
-// stays bounded.
+// Added to the exchange interval for each member, so that the cost of exchanges
+// is bounded in a fleet of any size.
 constexpr duration interval_per_member = 4ms;
-// One exchange in so many is with another data centre.
+// One exchange in this number is with another data centre.
 constexpr std::uint64_t exchanges_per_remote_exchange = 4;
 
 void send_records(
@@ -98,11 +98,11 @@
     state.timers.digest =
         now + interval / 2 +
         from_seconds(to_seconds(interval) * random_fraction(random));
-    const bool remote =
+    const bool use_remote =
         state.targets.local.empty() ||
         random_below(random, exchanges_per_remote_exchange) == 0;
-    const host_id target = remote ? pick_remote_host(state, random)
-                                  : pick_host(state.targets.local, random);
+    const host_id target = use_remote ? pick_remote_host(state, random)
+                                      : pick_host(state.targets.local, random);
     if (target != host_id::none)
     {
         send_digest(state, target, false, now, actions);
--- a/src/core/membership/member_table.cpp
+++ b/src/core/membership/member_table.cpp
@@ -21,8 +21,8 @@
         XXH3_64bits(fields.data(), sizeof(fields)));
 }
 
-// Members that are dead or gone count as absent, so that it makes no
-// difference who has forgotten them already.
+// Dead and departed members hash to 0 like absent ones, so that digests are
+// equal whether or not a tombstone has expired.
 std::uint32_t hash_entry(const member& known)
 {
     if (!is_present(known.state))
@@ -48,11 +48,11 @@
     control_actions& actions, event_kind kind, host_id peer,
     std::string detail = {})
 {
-    event happened;
-    happened.kind = kind;
-    happened.peer = peer;
-    happened.detail = std::move(detail);
-    actions.events.push_back(std::move(happened));
+    event new_event;
+    new_event.kind = kind;
+    new_event.peer = peer;
+    new_event.detail = std::move(detail);
+    actions.events.push_back(std::move(new_event));
 }
 
 void emit_state(const member& known, control_actions& actions)
@@ -97,7 +97,8 @@
     }
 }
 
-// Only hosts of the same data centre judge each other.
+// Starts or stops the suspicion timer of a member. Only members of the same
+// data centre declare each other dead.
 void update_suspicion(
     membership_state& state, const member& known, time_point now)
 {
@@ -111,7 +112,8 @@
     state.suspects.erase(known.host);
 }
 
-// Answers a report about this node itself.
+// Handles a report about this node: supersedes a wrong one with a higher
+// incarnation or refutation. True if it did.
 bool refute(membership_state& state, const member_report& report)
 {
     if (report.host_incarnation > state.self_incarnation)
@@ -140,12 +142,12 @@
     member& added = state.members[report.host];
     added.host = report.host;
     added.data_centre = report.data_centre;
-    // Older than any report.
+    // With incarnation 0, older than any report.
     added.state = member_state::left;
     return added;
 }
 
-// Takes over a newer report; the caller keeps the digest in step.
+// Applies a newer report to a member; the caller updates the digest.
 void apply_report(
     membership_state& state, member& known, const member_report& report,
     time_point now, control_actions& actions)
--- a/src/core/membership/member_table.hpp
+++ b/src/core/membership/member_table.hpp
@@ -1,7 +1,7 @@
-// The table of members: which of two statements about a member is newer, and
-// what follows from taking it in. Statements about a member are ordered by
-// incarnation, then refutation, then state (alive < suspect < dead < left), so
-// that all nodes end with the same one in whatever order they hear them.
+// The table of members: merges reports about members and records the effects.
+// Reports about a member are ordered by incarnation, then refutation, then
+// state (alive < suspect < dead < left), so that all nodes converge to the same
+// one whatever the order of arrival.
 #pragma once
 
 #include "core/membership/membership.hpp"
@@ -11,7 +11,7 @@
 namespace cyclamenhold
 {
 
-// What is said about a member's state.
+// A report of a member's state.
 struct member_report
 {
     host_id host = host_id::none;
@@ -21,7 +21,8 @@
     member_state state = member_state::alive;
 };
 
-// Whether a member takes part: alive, or suspected and not yet judged.
+// Whether a member is part of the fleet: alive, or suspected with the suspicion
+// timer still running.
 [[nodiscard]] constexpr bool is_present(member_state state)
 {
     return state == member_state::alive || state == member_state::suspect;
@@ -29,40 +30,42 @@
 
 [[nodiscard]] member_report report_of(const member& known);
 
-// What this node says about itself.
+// The report of this node about itself.
 [[nodiscard]] member_report own_report(const membership_state& state);
 
-// Takes in a report if it is newer than what is known. About this node itself,
-// a report that is wrong is refuted. True when anything changed.
+// Applies a report if it is newer than the member's entry. A wrong report about
+// this node is refuted. Returns true if anything changed.
 bool merge_report(
     membership_state& state, const member_report& report, time_point now,
     control_actions& actions);
 
-// Takes in a report together with the member's upstream.
+// Merges a report and the member's upstream. Returns true if anything changed.
 bool merge_record(
     membership_state& state, const member_report& report,
     const upstream_record& upstream, time_point now, control_actions& actions);
 
-// Notes that a message came from the member itself.
+// Records a message received from the member itself, and the configuration
+// revision it reported.
 void record_contact(
     membership_state& state, host_id host, std::uint64_t revision,
     time_point now);
 
-// Declares members dead whose suspicion was not refuted in time.
+// Declares members dead whose suspicion was not refuted before its deadline.
 void expire_suspects(
     membership_state& state, time_point now, control_actions& actions);
 
-// Forgets members that have been dead or gone for long.
+// Deletes members that have been dead or departed for `tombstone_retention`.
 void expire_tombstones(membership_state& state, time_point now);
 
-// Puts a member, or this node itself, among the news to spread.
+// Queues an update about a member, or about this node, for gossip.
 void queue_update(
     membership_state& state, host_id host, bool includes_upstream);
 
-// Brings `state.targets` up to date with the table.
+// Rebuilds `state.targets` if the table has changed.
 void refresh_targets(membership_state& state);
 
-// The buckets that the two digests differ in are those to exchange.
+// The bucket of a host in the digest. Two members exchange the buckets in which
+// their digests differ.
 [[nodiscard]] std::size_t digest_bucket_of(host_id host);
 [[nodiscard]] std::array<std::uint32_t, digest_bucket_count>
 digest_with_self(const membership_state& state);
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -18,11 +18,13 @@
 
 using wire::membership::message_body;
 
-// A tick later than this means that the process was paused.
+// A longer gap between ticks means that the process was paused.
 constexpr duration pause_threshold = 1s;
 constexpr duration cleanup_interval = 30s;
 
-// A node that was paused must not take its own silence for that of others.
+// After a pause of this process, cancels the probe in progress and extends
+// deadlines by the length of the pause, so that messages missed during the
+// pause do not count as failures of other members.
 void recover_from_pause(membership_state& state, time_point now)
 {
     const duration gap = now - state.last_tick;
@@ -49,7 +51,7 @@
         state.gossip_budget_bytes + rate * to_seconds(now - state.last_tick));
 }
 
-// Notes which data centres are cut off.
+// Updates which data centres are reachable.
 void update_reachability(membership_state& state, time_point now)
 {
     for (auto& [id, link] : state.data_centres)
@@ -94,20 +96,21 @@
     membership_state& state, const membership_message& message, time_point now,
     control_actions& actions)
 {
-    for (const auto& updates : message.updates)
+    for (const auto& update : message.updates)
     {
-        if (updates.includes_upstream)
+        if (update.includes_upstream)
         {
-            merge_record(state, updates.report, updates.upstream, now, actions);
+            merge_record(state, update.report, update.upstream, now, actions);
         }
         else
         {
-            merge_report(state, updates.report, now, actions);
+            merge_report(state, update.report, now, actions);
         }
     }
 }
 
-// Tells a sender that is held to be dead, or to have a newer life, so that it
+// Sends this node's entry to a sender whose report of itself differs, for
+// example one recorded as dead or with a newer incarnation, so that the sender
 // can refute it or raise its incarnation.
 void correct_sender(
     membership_state& state, const member& known,
@@ -126,7 +129,8 @@
     send_message(known.host, correction, transport::datagram, actions);
 }
 
-// Takes in what the sender says about itself, and asks for what is missing.
+// Merges the sender's report of itself. Requests its record by a digest if this
+// node has an older version of its upstream.
 void handle_sender(
     membership_state& state, const membership_message& message, time_point now,
     control_actions& actions)
@@ -142,13 +146,13 @@
     const bool behind =
         found->second.host_incarnation == message.sender.host_incarnation &&
         found->second.upstream.version < message.sender_upstream_version;
-    // A record among the updates settles it.
+    // A record of the sender in the same message contains the upstream.
     const bool has_record = std::ranges::any_of(
         message.updates,
-        [&](const member_update& updates)
+        [&](const member_update& update)
         {
-            return updates.includes_upstream &&
-                   updates.report.host == message.sender.host;
+            return update.includes_upstream &&
+                   update.report.host == message.sender.host;
         });
     if (behind && !has_record && message.kind != message_body::digest)
     {
@@ -183,11 +187,11 @@
 
 void report_bad_input(host_id from, control_actions& actions)
 {
-    event happened;
-    happened.kind = event_kind::bad_input;
-    happened.peer = from;
-    happened.detail = "membership message";
-    actions.events.push_back(std::move(happened));
+    event new_event;
+    new_event.kind = event_kind::bad_input;
+    new_event.peer = from;
+    new_event.detail = "membership message";
+    actions.events.push_back(std::move(new_event));
 }
 
 bool is_acceptable(
@@ -212,11 +216,12 @@
     control_actions& actions)
 {
     state.settings = settings;
-    // Zero stands for "unknown" in messages.
+    // Zero means "unknown" in messages.
     state.self_incarnation = std::max<incarnation>(self, 1);
     state.last_tick = now;
     state.gossip_budget_bytes = settings.gossip_bytes_per_second;
-    // Nodes that start together do not probe in step.
+    // Random phases, so that nodes that start together do not probe at the same
+    // times.
     const auto spread = [&](duration interval)
     {
         return now +
--- a/src/core/membership/membership.hpp
+++ b/src/core/membership/membership.hpp
@@ -1,4 +1,4 @@
-// Who is in the fleet: probes, suspicion, incarnations and dissemination.
+// Fleet membership: probes, suspicion, incarnations and gossip.
 // Runs on the control thread only.
 #pragma once
 
@@ -42,21 +42,21 @@
     incarnation host_incarnation = 0;
     data_centre_id data_centre = data_centre_id::none;
     member_state state = member_state::alive;
-    // Orders what is said about one incarnation; the member itself raises it
-    // to refute a suspicion.
+    // Orders reports about one incarnation; the member itself increments it to
+    // refute a suspicion.
     std::uint32_t refutation = 0;
-    // When anything was last heard from the host itself, on the local clock;
-    // the zero point when never.
+    // Local time of the last message received from the host itself; zero if
+    // none.
     time_point last_contact_at{};
-    // The configuration revision in force there when it was last heard.
+    // The configuration revision in force at the host, from its last message.
     std::uint64_t revision = 0;
-    // When the member came into its present state.
+    // When the current state was recorded.
     time_point changed_at{};
     upstream_record upstream;
 };
 
-// What is known of the link to another data centre, by this node or by any
-// that it hears from.
+// The state of the link to another data centre, from messages received by this
+// node and contact times reported by members.
 struct data_centre_link
 {
     time_point last_contact_at{};
@@ -68,33 +68,34 @@
     host_id self = host_id::none;
     data_centre_id data_centre = data_centre_id::none;
     std::string data_centre_name;
-    // Addresses to join by, beside those found in the platform.
+    // Addresses for joining, in addition to those listed in the platform.
     std::vector<host_id> seeds;
     duration probe_interval = 500ms;
     duration probe_timeout = 200ms;
     duration suspicion_time = 3s;
     std::uint32_t indirect_probes = 3;
-    // Between two rounds that spread updates; quiet without any.
+    // Between two gossip rounds; no messages are sent without updates.
     duration gossip_interval = 150ms;
     std::uint32_t gossip_fanout = 3;
     // Between two probes of other data centres.
     duration remote_probe_interval = 1s;
-    // A data centre not heard from for so long gets no work.
+    // A data centre without a message for this duration is unreachable and gets
+    // no requests.
     duration data_centre_timeout = 8s;
-    // Between two comparisons with another member; grows with the fleet.
+    // Between two digest exchanges; increased by 4 ms per member.
     duration digest_interval = 10s;
-    // Between two probes of members that are held to be dead.
+    // Between two probes of members in state dead.
     duration dead_probe_interval = 3s;
-    // How long dead and departed members are remembered.
+    // How long dead and departed members are kept as tombstones.
     duration tombstone_retention = 10min;
-    // Bytes of updates a second, on top of the probes.
+    // Bytes of updates per second, in addition to the probes.
     double gossip_bytes_per_second = 3000.0;
-    // Members of each data centre that keep an entry in the platform.
+    // Number of members of each data centre with a seed entry in the platform.
     std::uint32_t seed_count = 3;
     duration seed_lease_time = 30s;
 };
 
-// The one probe under way.
+// The probe in progress; there is at most one.
 struct probe
 {
     host_id target = host_id::none;
@@ -104,7 +105,7 @@
     bool indirect_sent = false;
 };
 
-// A probe made for another member.
+// A probe relayed for another member.
 struct relayed_probe
 {
     host_id origin = host_id::none;
@@ -112,11 +113,11 @@
     time_point expires_at{};
 };
 
-// A change that still has to be told to others.
+// A change that is still to be sent to other members.
 struct queued_update
 {
     std::uint32_t transmissions = 0;
-    // The upstream is told as well as the member's state.
+    // The upstream is sent in addition to the member's state.
     bool includes_upstream = false;
 };
 
@@ -130,31 +131,33 @@
     revoking
 };
 
-// This node's use of the platform: finding others, and being found.
+// Discovery by the platform: listing seed entries and publishing this node's
+// entry. `phase` is the call in progress.
 struct seed_state
 {
     seed_phase phase = seed_phase::idle;
     std::uint64_t call_id = 0;
-    // When a call that was never answered is given up.
+    // When the call in progress times out.
     time_point call_expires_at{};
     time_point next_list_at{};
     time_point next_lease_at{};
     std::uint64_t lease = 0;
-    // The lease's key has been written.
+    // Whether the entry has been written under the lease.
     bool published = false;
-    // Lists answered so remote, up to the number needed before publishing.
+    // Lists answered since the start. A number of them is required before this
+    // node publishes its entry.
     std::uint32_t lists_done = 0;
     std::uint32_t failures = 0;
     std::uint64_t entry_version = 0;
-    // When an address of the settings is tried next.
+    // When the next seed address of the settings is contacted.
     time_point next_address_at{};
     time_point next_check_at{};
 };
 
-// Hosts that may be talked to, from the table of members.
+// Hosts that messages can be sent to, derived from the table of members.
 struct member_targets
 {
-    // Equal to membership_state::targets_version when up to date.
+    // Up to date if equal to membership_state::targets_version.
     std::uint64_t version = 0;
     std::vector<host_id> local;
     std::map<data_centre_id, std::vector<host_id>> remote;
@@ -178,25 +181,25 @@
     membership_settings settings;
     incarnation self_incarnation = 0;
     upstream_record local_upstream;
-    // Without the host itself.
+    // All members except this host.
     std::map<host_id, member> members;
-    // Grows whenever a member or its upstream changes.
+    // Incremented when a member or its upstream changes.
     std::uint64_t version = 0;
     bool leaving = false;
 
-    // The configuration revision in force here; set by the owner, told with
-    // each message.
+    // The configuration revision in force at this node; set by the owner, sent
+    // with each message.
     std::uint64_t own_revision = 0;
-    // When any node, as remote as heard, last read the newest revision from the
-    // platform; the zero point when never.
+    // The latest reported time at which any node read the newest revision from
+    // the platform; zero if none.
     time_point platform_read_at{};
-    // The highest revision heard of, and a member that has it.
+    // The highest revision reported by a member, and that member.
     std::uint64_t highest_revision = 0;
     host_id highest_revision_host = host_id::none;
     // Other data centres.
     std::map<data_centre_id, data_centre_link> data_centres;
 
-    // What follows is used by the membership code only.
+    // Private to the membership code.
     std::uint32_t self_refutation = 0;
     std::map<host_id, queued_update> updates;
     std::map<host_id, time_point> suspects;
@@ -227,32 +230,32 @@
     membership_state& state, const platform_reply& reply, time_point now,
     random_source& random, control_actions& actions);
 
-// When membership_tick is due next.
+// Returns when membership_tick is due next.
 [[nodiscard]] time_point membership_due(const membership_state& state);
 
-// Takes a change of the local upstream and spreads it at once.
+// Records a change of the local upstream and sends it to members at once.
 void membership_set_upstream(
     membership_state& state, const upstream_record& record, time_point now,
     random_source& random, control_actions& actions);
 
-// Tells the fleet that this host is leaving; it answers probes on.
+// Announces to the fleet that this host is leaving. It still answers probes.
 void membership_leave(
     membership_state& state, time_point now, random_source& random,
     control_actions& actions);
 
-// All upstreams that may be tried, the local one included. Those of members
-// that are suspected, dead or gone, and of data centres that are cut off, are
-// left out.
+// Returns all upstreams that can get requests, including the local one.
+// Excluded are those of suspected, dead or departed members and of unreachable
+// data centres.
 [[nodiscard]] std::vector<upstream_location>
 membership_upstreams(const membership_state& state);
 
-// The `count` members of this node's data centre, itself included, that rank
-// first by rendezvous hashing under `salt`: those that do a job for all. As of
-// the last tick.
+// Returns the `count` members of this node's data centre, including itself,
+// that rank first by rendezvous hashing under `salt`. They do a task for the
+// whole data centre. The members are those of the last tick.
 [[nodiscard]] std::vector<host_id> rendezvous_members(
     const membership_state& state, std::string_view salt, std::size_t count);
 
-// Whether this node is one of them.
+// Whether this node is one of rendezvous_members().
 [[nodiscard]] bool is_rendezvous_member(
     const membership_state& state, std::string_view salt, std::size_t count);
 
--- a/src/core/membership/membership_wire.cpp
+++ b/src/core/membership/membership_wire.cpp
@@ -8,7 +8,8 @@
 namespace wire_format = wire::membership;
 
 constexpr std::size_t status_size = sizeof(wire_format::member_status);
-// Table, vtable, offsets and padding of a record beside its status and name.
+// Bytes of a record's table, vtable, offsets and padding, in addition to its
+// status and service name.
 constexpr std::size_t record_overhead = 64;
 constexpr std::size_t max_service_name_size = 255;
 
@@ -35,15 +36,14 @@
 }
 
 flatbuffers::Offset<wire_format::member_record> write_record(
-    flatbuffers::FlatBufferBuilder& builder, const member_update& updates)
+    flatbuffers::FlatBufferBuilder& builder, const member_update& update)
 {
-    const auto service = builder.CreateString(updates.upstream.service);
-    const auto status = to_wire(updates.report);
+    const auto service = builder.CreateString(update.upstream.service);
+    const auto status = to_wire(update.report);
     return wire_format::Createmember_record(
         builder, &status, service,
-        static_cast<std::uint8_t>(updates.upstream.state),
-        updates.upstream.slots, updates.upstream.connections,
-        updates.upstream.version);
+        static_cast<std::uint8_t>(update.upstream.state), update.upstream.slots,
+        update.upstream.connections, update.upstream.version);
 }
 
 flatbuffers::Offset<void> write_body(
@@ -108,17 +108,17 @@
     {
         return false;
     }
-    member_update updates;
-    updates.report = from_wire(*record.status());
-    updates.includes_upstream = true;
-    updates.upstream.service =
+    member_update update;
+    update.report = from_wire(*record.status());
+    update.includes_upstream = true;
+    update.upstream.service =
         record.service() == nullptr ? "" : record.service()->str();
-    updates.upstream.state =
+    update.upstream.state =
         static_cast<upstream_state>(record.upstream_state());
-    updates.upstream.slots = record.slots();
-    updates.upstream.connections = record.connections();
-    updates.upstream.version = record.upstream_version();
-    message.updates.push_back(std::move(updates));
+    update.upstream.slots = record.slots();
+    update.upstream.connections = record.connections();
+    update.upstream.version = record.upstream_version();
+    message.updates.push_back(std::move(update));
     return true;
 }
 
@@ -157,15 +157,15 @@
     flatbuffers::FlatBufferBuilder builder(max_datagram_payload);
     std::vector<wire_format::member_status> statuses;
     std::vector<flatbuffers::Offset<wire_format::member_record>> records;
-    for (const auto& updates : message.updates)
+    for (const auto& update : message.updates)
     {
-        if (updates.includes_upstream)
+        if (update.includes_upstream)
         {
-            records.push_back(write_record(builder, updates));
+            records.push_back(write_record(builder, update));
         }
         else
         {
-            statuses.push_back(to_wire(updates.report));
+            statuses.push_back(to_wire(update.report));
         }
     }
     std::vector<wire_format::data_centre_contact> contacts;
@@ -226,13 +226,13 @@
     return message;
 }
 
-std::size_t encoded_size(const member_update& updates)
+std::size_t encoded_size(const member_update& update)
 {
-    if (!updates.includes_upstream)
+    if (!update.includes_upstream)
     {
         return status_size;
     }
-    return status_size + record_overhead + updates.upstream.service.size();
+    return status_size + record_overhead + update.upstream.service.size();
 }
 
 } // namespace cyclamenhold
--- a/src/core/membership/membership_wire.hpp
+++ b/src/core/membership/membership_wire.hpp
@@ -1,4 +1,4 @@
-// Membership messages as plain structs, and their FlatBuffers form.
+// Membership messages as plain structs, and their FlatBuffers encoding.
 #pragma once
 
 #include "core/membership/member_table.hpp"
@@ -15,7 +15,7 @@
 {
     member_report report;
     upstream_record upstream;
-    // Without it, only the report is sent.
+    // If false, only the report is sent, not the upstream.
     bool includes_upstream = false;
 };
 
@@ -34,11 +34,11 @@
     std::uint64_t revision = 0;
     std::vector<data_centre_age> contacts;
     std::vector<member_update> updates;
-    // Of ping, ping_request and ack.
+    // For ping, ping_request and ack.
     std::uint64_t sequence = 0;
-    // Of ping_request.
+    // For ping_request.
     host_id target = host_id::none;
-    // Of digest.
+    // For digest.
     std::vector<std::uint32_t> buckets;
     bool is_reply = false;
 };
@@ -46,11 +46,11 @@
 [[nodiscard]] std::vector<std::uint8_t>
 encode(const membership_message& message);
 
-// Nothing for bytes that are not a whole and sensible message.
+// Returns nothing if the bytes are not a complete and valid message.
 [[nodiscard]] std::optional<membership_message>
 decode_membership_message(std::span<const std::uint8_t> bytes);
 
-// The bytes that one piece of updates adds to a message, at most.
-[[nodiscard]] std::size_t encoded_size(const member_update& updates);
+// Returns the largest number of bytes that an update adds to a message.
+[[nodiscard]] std::size_t encoded_size(const member_update& update);
 
 } // namespace cyclamenhold
--- a/src/core/membership/probing.cpp
+++ b/src/core/membership/probing.cpp
@@ -11,7 +11,7 @@
 
 using wire::membership::message_body;
 
-// How long a relayed probe's answer is waited for.
+// Timeout of a relayed probe.
 constexpr duration relay_timeout = 2s;
 
 void send_ping(
@@ -28,7 +28,7 @@
     send_with_updates(state, target, std::move(message), actions);
 }
 
-// The next member in a random order in which each comes once a turn.
+// Returns the next member to probe: each member once per turn, in random order.
 host_id next_target(membership_state& state, random_source& random)
 {
     for (int turn = 0; turn < 2; ++turn)
@@ -60,7 +60,7 @@
         return;
     }
     const std::uint64_t sequence = state.next_sequence++;
-    // Just before the next period begins.
+    // Just before the next probe starts.
     const time_point fails_at = now + state.settings.probe_interval - 1ms;
     state.active_probe = probe{
         target, sequence, now + state.settings.probe_timeout, fails_at, false};
@@ -79,7 +79,8 @@
     for (std::uint32_t draw = 0; draw < draws && helpers.size() < wanted;
          ++draw)
     {
-        // Where the data centre has too few members, others help.
+        // The second half of the draws is from other data centres, for a data
+        // centre with too few members.
         const host_id helper = draw < 2 * wanted
                                    ? pick_host(state.targets.local, random)
                                    : pick_remote_host(state, random);
@@ -217,7 +218,7 @@
         state.relays.erase(relay);
         return;
     }
-    // A helper's answer carries the sequence of the probe as well.
+    // An ack relayed by a helper has the sequence of the probe too.
     if (state.active_probe.has_value() &&
         state.active_probe->sequence == sequence)
     {
--- a/src/core/membership/probing.hpp
+++ b/src/core/membership/probing.hpp
@@ -1,7 +1,8 @@
-// Failure detection: one member of the data centre is probed at a time, others
-// are asked to probe it when it does not answer, and it is suspected when that
-// fails too. Members of other data centres are probed only to know whether
-// their data centre can be reached; their own neighbours judge them.
+// Failure detection: this node probes one member of its data centre at a time.
+// If the member does not answer, other members are requested to probe it, and
+// if that fails too, it is suspected. Probes to other data centres only test
+// whether the data centre is reachable; failures of its members are detected
+// inside it.
 #pragma once
 
 #include "core/membership/membership.hpp"
@@ -9,12 +10,12 @@
 namespace cyclamenhold
 {
 
-// Does what is due of the probes.
+// Starts, escalates and ends the probes that are due.
 void tick_probes(
     membership_state& state, time_point now, random_source& random,
     control_actions& actions);
 
-// When tick_probes is due next.
+// Returns when tick_probes is due next.
 [[nodiscard]] time_point probes_due(const membership_state& state);
 
 void answer_ping(
--- a/src/core/membership/seeds.cpp
+++ b/src/core/membership/seeds.cpp
@@ -20,13 +20,15 @@
 constexpr duration configured_seed_interval_joined = 30s;
 constexpr duration min_backoff = 1s;
 constexpr duration max_backoff = 30s;
-// Longer than any call's timeout, by which it should have been answered.
+// Timeout of a call without an answer; longer than the timeout of any platform
+// call.
 constexpr duration call_timeout = 10s;
-// Lists that must have been read before a node that knows nobody publishes
-// itself; others that start at the same time are found by then.
+// Number of lists that a node without known members of its data centre reads
+// before it publishes its entry, so that it finds nodes that start at the same
+// time.
 constexpr std::uint32_t lists_before_publishing = 2;
 
-// A random time in [span / 2, span * 3 / 2).
+// Returns a random duration in [span / 2, span * 3 / 2).
 duration jittered(duration span, random_source& random)
 {
     return span / 2 + from_seconds(to_seconds(span) * random_fraction(random));
@@ -145,7 +147,7 @@
     }
 }
 
-// Turns to one address of the settings now and then.
+// Contacts a random seed address of the settings when the interval has elapsed.
 void contact_configured_seed(
     membership_state& state, time_point now, random_source& random,
     control_actions& actions)
@@ -199,8 +201,8 @@
         now + jittered(state.settings.seed_lease_time / 3, random);
 }
 
-// An entry under another lease: of an earlier life, or of a write whose answer
-// was lost.
+// Overwrites an entry under another lease, left by an earlier incarnation or by
+// a write whose answer was lost.
 void handle_write_conflict(
     membership_state& state, const platform_reply& reply,
     control_actions& actions)
@@ -217,7 +219,7 @@
     seed_state& seed = state.seed;
     if (phase != seed_phase::listing && phase != seed_phase::renewing)
     {
-        // The lease, if there is one, ends by itself.
+        // A granted lease expires in the platform without renewal.
         seed.lease = 0;
         seed.published = false;
     }
@@ -276,7 +278,8 @@
     {
         return;
     }
-    // Choosing looks at all members, so it is not done on each tick.
+    // The rendezvous ranking iterates over all members, so it is not done on
+    // each tick.
     state.seed.next_check_at = now + 500ms;
     if (now >= state.seed.next_list_at && is_list_needed(state))
     {
--- a/src/core/membership/seeds.hpp
+++ b/src/core/membership/seeds.hpp
@@ -1,7 +1,7 @@
 // Joining: a few members of each data centre keep a leased entry in the
-// platform, and whoever knows nobody looks there, besides the addresses from
-// the settings. Which members those are follows from rendezvous hashing, so
-// the platform is used alike in a fleet of any size.
+// platform. A node without known members lists these entries, in addition to
+// the seed addresses in its settings. Rendezvous hashing selects the members
+// with an entry, so the load on the platform does not grow with the fleet.
 #pragma once
 
 #include "core/membership/membership.hpp"
@@ -19,7 +19,7 @@
     membership_state& state, const platform_reply& reply, time_point now,
     random_source& random, control_actions& actions);
 
-// Gives up the entry at once.
+// Revokes the lease of this node's entry at once.
 void revoke_seed_entry(membership_state& state, control_actions& actions);
 
 } // namespace cyclamenhold
--- a/src/core/membership/sending.cpp
+++ b/src/core/membership/sending.cpp
@@ -12,15 +12,15 @@
 
 using wire::membership::message_body;
 
-// Added to the age of a contact on each hop, for the time it travelled.
+// Added to the age of a contact on each hop, for the time in transit.
 constexpr duration contact_hop_delay = 50ms;
 constexpr std::int64_t max_age_ms = std::numeric_limits<std::uint32_t>::max();
-// How many messages of a data centre a round sends to other data centres,
-// about, once all of its members know the updates.
+// Expected number of messages per gossip round from one data centre to others,
+// when all of its members have the updates.
 constexpr double remote_messages_per_round = 24.0;
 constexpr std::size_t remote_hosts_per_push = 2;
 
-// How often each piece of updates is sent by each node.
+// Number of times that each node sends an update.
 std::uint32_t transmission_limit(const membership_state& state)
 {
     const auto count = static_cast<double>(state.members.size() + 2);
@@ -47,8 +47,8 @@
            found->second.data_centre != state.settings.data_centre;
 }
 
-// The queue in the order in which it is to be told, as remote as one message
-// can hold it.
+// Returns the queued updates in order of transmission, at most as many as fit
+// into one message.
 std::vector<ranked_update> rank_updates(const membership_state& state)
 {
     constexpr std::size_t max_per_message = max_updates_size / 32;
@@ -71,27 +71,27 @@
 {
     const std::uint32_t limit = transmission_limit(state);
     std::size_t used = message.contacts.size() * sizeof(data_centre_age);
-    for (const auto& updates : message.updates)
+    for (const auto& update : message.updates)
     {
-        used += encoded_size(updates);
+        used += encoded_size(update);
     }
     for (const auto& ranked : rank_updates(state))
     {
         const auto queued = state.updates.find(ranked.host);
-        auto updates = make_update(state, ranked.host);
-        if (!updates.has_value())
+        auto update = make_update(state, ranked.host);
+        if (!update.has_value())
         {
             state.updates.erase(queued);
             continue;
         }
-        updates->includes_upstream = queued->second.includes_upstream;
-        if (used + encoded_size(*updates) > max_updates_size ||
+        update->includes_upstream = queued->second.includes_upstream;
+        if (used + encoded_size(*update) > max_updates_size ||
             ranked.host == to)
         {
             continue;
         }
-        used += encoded_size(*updates);
-        message.updates.push_back(std::move(*updates));
+        used += encoded_size(*update);
+        message.updates.push_back(std::move(*update));
         if (++queued->second.transmissions >= limit)
         {
             state.updates.erase(queued);
@@ -136,11 +136,11 @@
     {
         add_contact(id, link.last_contact_at);
     }
-    // Only together with the revision that was read.
+    // Sent only with the revision that was read.
     if (state.platform_read_at != time_point{} &&
         state.own_revision >= state.highest_revision)
     {
-        // Stands for the platform.
+        // Data centre `none` means the platform.
         add_contact(data_centre_id::none, state.platform_read_at);
     }
     return message;
@@ -178,9 +178,9 @@
     {
         add_updates(state, to, message);
     }
-    for (const auto& updates : message.updates)
+    for (const auto& update : message.updates)
     {
-        state.gossip_budget_bytes -= static_cast<double>(encoded_size(updates));
+        state.gossip_budget_bytes -= static_cast<double>(encoded_size(update));
     }
     send_message(to, message, transport::datagram, actions);
 }
