--- a/tests/core/claims_test.cpp
+++ b/tests/core/claims_test.cpp
@@ -13,7 +13,7 @@
 
 const workspace_id school = workspace_id_of("school");
 
-// A settled fleet, and the answers its nodes got to their questions.
+// A fleet in steady state, and the answers to the claim requests of its nodes.
 struct claims_fleet
 {
     fleet_options options;
@@ -41,14 +41,14 @@
         return *entry->second;
     }
 
-    std::string ticket(virtual_node& from)
+    std::string issue_ticket(virtual_node& from)
     {
         return claims_issue_ticket(
             from.control->claims, inputs_of_claims(*from.control), from.random);
     }
 
-    claim_answer
-    ask(virtual_node& from, const std::string& key, std::uint64_t digest = 1)
+    claim_answer request_claim(
+        virtual_node& from, const std::string& key, std::uint64_t digest = 1)
     {
         const claim_token token = ++last_token;
         fleet->act(
@@ -86,7 +86,7 @@
 TEST(claims, keys)
 {
     {
-        SCOPED_TRACE("a ticket reads back, anything else does not");
+        SCOPED_TRACE("a formatted ticket parses, malformed text does not");
         const claim_ticket ticket{
             data_centre_id_of("brno"), 7, 0x123456789abcdefULL, 3, 42};
         EXPECT_EQ(parse_ticket(to_string(ticket)), ticket);
@@ -99,7 +99,7 @@
         }
     }
     {
-        SCOPED_TRACE("a UUIDv7 carries its time");
+        SCOPED_TRACE("the time of a UUIDv7 is parsed");
         EXPECT_EQ(
             uuid_time_ms("017f22e2-79b0-7cc3-98c4-dc0c0c07398f"),
             0x017f22e279b0ULL);
@@ -113,30 +113,36 @@
     claims_fleet claims;
     virtual_node& first = claims.node(0);
     virtual_node& second = claims.node(9);
-    const std::string key = claims.ticket(first);
+    const std::string key = claims.issue_ticket(first);
     ASSERT_FALSE(key.empty());
-    const auto granted = claims.ask(first, key);
+    const auto granted = claims.request_claim(first, key);
     ASSERT_EQ(granted.status, claim_status::granted);
     {
-        SCOPED_TRACE("while it runs, a repeat elsewhere is not granted");
-        EXPECT_EQ(claims.ask(second, key).status, claim_status::in_progress);
-        EXPECT_EQ(claims.ask(second, key, 2).status, claim_status::mismatch);
+        SCOPED_TRACE("while it runs, a repeat at another node is not granted");
+        EXPECT_EQ(
+            claims.request_claim(second, key).status,
+            claim_status::in_progress);
+        EXPECT_EQ(
+            claims.request_claim(second, key, 2).status,
+            claim_status::mismatch);
     }
     {
-        SCOPED_TRACE("not-run frees the key for another try");
+        SCOPED_TRACE("not-run releases the key for another try");
         claims.complete(first, key, granted.grant, outcome::not_run);
-        const auto again = claims.ask(second, key);
+        const auto again = claims.request_claim(second, key);
         ASSERT_EQ(again.status, claim_status::granted);
         claims.complete(second, key, again.grant, outcome::ran);
-        const auto repeat = claims.ask(first, key);
+        const auto repeat = claims.request_claim(first, key);
         EXPECT_EQ(repeat.status, claim_status::finished);
         EXPECT_EQ(repeat.reply.status, 201);
         EXPECT_EQ(repeat.reply.body, "done");
     }
     {
-        SCOPED_TRACE("a steward that forgot answers unknown, never grants");
-        const std::string other = claims.ticket(first);
-        ASSERT_EQ(claims.ask(first, other).status, claim_status::granted);
+        SCOPED_TRACE(
+            "a steward that lost its records answers unknown, never grants");
+        const std::string other = claims.issue_ticket(first);
+        ASSERT_EQ(
+            claims.request_claim(first, other).status, claim_status::granted);
         const auto shard = parse_ticket(other)->shard;
         const host_id steward =
             first.control->rates.pledges.heard[shard].steward;
@@ -145,9 +151,10 @@
         claims.fleet->run_for(1s);
         claims.fleet->start(holder);
         claims.fleet->run_for(15s);
-        EXPECT_EQ(claims.ask(second, other).status, claim_status::unknown);
         EXPECT_EQ(
-            claims.ask(second, claims.ticket(first)).status,
+            claims.request_claim(second, other).status, claim_status::unknown);
+        EXPECT_EQ(
+            claims.request_claim(second, claims.issue_ticket(first)).status,
             claim_status::granted);
     }
 }
@@ -168,23 +175,33 @@
         return std::string(text);
     };
     {
-        SCOPED_TRACE("one issued about the take-over may have run before");
-        EXPECT_EQ(claims.ask(node, uuid(0)).status, claim_status::unknown);
+        SCOPED_TRACE(
+            "a UUIDv7 issued close to the steward change may have run before");
+        EXPECT_EQ(
+            claims.request_claim(node, uuid(0)).status, claim_status::unknown);
     }
     claims.fleet->run_for(20s);
     {
-        SCOPED_TRACE("a later one is granted, one of the future is not");
+        SCOPED_TRACE(
+            "a later UUIDv7 is granted, one with a time in the future is not");
         const auto key = uuid(0);
-        EXPECT_EQ(claims.ask(node, key).status, claim_status::granted);
-        EXPECT_EQ(claims.ask(node, key).status, claim_status::in_progress);
         EXPECT_EQ(
-            claims.ask(node, uuid(60'000)).status, claim_status::unavailable);
+            claims.request_claim(node, key).status, claim_status::granted);
+        EXPECT_EQ(
+            claims.request_claim(node, key).status, claim_status::in_progress);
+        EXPECT_EQ(
+            claims.request_claim(node, uuid(60'000)).status,
+            claim_status::unavailable);
     }
     {
         SCOPED_TRACE("a plain key is granted after one retention time");
-        EXPECT_EQ(claims.ask(node, "order-1").status, claim_status::unknown);
+        EXPECT_EQ(
+            claims.request_claim(node, "order-1").status,
+            claim_status::unknown);
         claims.fleet->run_for(600s);
-        EXPECT_EQ(claims.ask(node, "order-1").status, claim_status::granted);
+        EXPECT_EQ(
+            claims.request_claim(node, "order-1").status,
+            claim_status::granted);
     }
 }
 
@@ -192,31 +209,33 @@
 {
     claims_fleet claims;
     virtual_node& node = claims.node(0);
-    const std::string key = claims.ticket(node);
-    SCOPED_TRACE("with its data centre cut to pieces nobody can claim");
+    const std::string key = claims.issue_ticket(node);
+    SCOPED_TRACE("no claim is granted while all links are cut");
     claims.fleet->network.connected =
         [](const virtual_node&, const virtual_node&)
     {
         return false;
     };
     claims.fleet->run_for(10s);
-    EXPECT_EQ(claims.ask(node, key).status, claim_status::unavailable);
+    EXPECT_EQ(
+        claims.request_claim(node, key).status, claim_status::unavailable);
 }
 
-TEST(claims, last_gate)
+TEST(claims, upstream_gate)
 {
     claims_state state;
     const time_point now{100s};
     const std::uint64_t scope = 5ULL << 24;
     EXPECT_TRUE(claims_accept_at_gate(state, {10, scope | 1, now + 1s}, now));
     {
-        SCOPED_TRACE("a claim past its term, or of an older steward");
+        SCOPED_TRACE(
+            "a claim after its term, or of an older steward epoch, is refused");
         EXPECT_FALSE(claims_accept_at_gate(state, {10, scope | 2, now}, now));
         EXPECT_FALSE(
             claims_accept_at_gate(state, {9, scope | 3, now + 1s}, now));
     }
     {
-        SCOPED_TRACE("another shard has epochs of its own");
+        SCOPED_TRACE("another shard has its own epochs");
         EXPECT_TRUE(
             claims_accept_at_gate(state, {9, 6ULL << 24, now + 1s}, now));
     }
--- a/tests/core/membership_faults_test.cpp
+++ b/tests/core/membership_faults_test.cpp
@@ -1,6 +1,6 @@
-// Many nodes under random faults, against a simple oracle: revisions only grow,
-// one revision is one configuration, the answers to commits are true, and all
-// nodes agree soon after the faults have ended.
+// A property test of 12 nodes under random faults. Invariants: the revision of
+// a node never decreases, each revision has one configuration, the results of
+// commits are correct, and all nodes agree within 90 s after the faults end.
 #include "core/configuration/chain.hpp"
 #include "core/configuration/chain_format.hpp"
 #include "support/fake_fleet.hpp"
@@ -16,8 +16,8 @@
 
 const std::vector<std::string> three_data_centres{"brno", "olomouc", "zlin"};
 constexpr std::size_t node_count = 12;
-constexpr duration settle_time = 90s;
-constexpr int most_faults = 25;
+constexpr duration agreement_timeout = 90s;
+constexpr int max_faults = 25;
 
 enum class fault : std::uint8_t
 {
@@ -25,47 +25,47 @@
     cut_data_centre,
     cut_one_way,
     cut_inside,
-    mend_links,
+    restore_links,
     kill,
     restart,
     pause,
     platform_down,
     platform_slow,
     platform_loses_answers,
-    platform_well,
-    lapse_leases,
+    platform_recovers,
+    expire_leases,
     cut_from_platform,
     commit,
     racing_commits,
     count
 };
 
-struct asked_commit
+struct requested_commit
 {
     std::size_t node = 0;
-    std::uint64_t life = 0;
+    std::uint64_t node_incarnation = 0;
     std::string operation_id;
 };
 
-struct world
+struct test_state
 {
-    explicit world(std::uint64_t seed) : fleet(seed), random(seed + 1) {}
+    explicit test_state(std::uint64_t seed) : fleet(seed), random(seed + 1) {}
 
     fake_fleet fleet;
     random_source random;
-    std::map<commit_token, asked_commit> asked;
-    // The newest revision seen of each life of each node.
+    std::map<commit_token, requested_commit> requested_commits;
+    // The newest revision of each node, by incarnation of the node.
     std::map<std::pair<std::size_t, std::uint64_t>, std::uint64_t> newest;
     std::map<std::uint64_t, std::uint64_t> hash_of_revision;
-    std::string broken;
+    std::string violation;
 };
 
-std::size_t some_node(world& state)
+std::size_t random_node(test_state& state)
 {
     return random_below(state.random, node_count);
 }
 
-void check_revisions(world& state)
+void check_revisions(test_state& state)
 {
     for (std::size_t place = 0; place < state.fleet.nodes.size(); ++place)
     {
@@ -78,28 +78,28 @@
         auto& newest = state.newest[{place, node.life}];
         if (revision < newest)
         {
-            state.broken = "a revision was reverted";
+            state.violation = "a revision was reverted";
         }
         newest = revision;
         const auto [known, added] = state.hash_of_revision.try_emplace(
             revision, node.chain->chain_hash);
         if (!added && known->second != node.chain->chain_hash)
         {
-            state.broken = "two configurations under one revision";
+            state.violation = "two configurations under one revision";
         }
     }
 }
 
-void ask_commit(world& state, std::size_t place)
+void request_commit(test_state& state, std::size_t place)
 {
     fleet_node& node = state.fleet.nodes[place];
     if (!node.running || state.fleet.now < node.paused_until)
     {
         return;
     }
-    const commit_token token = state.asked.size() + 1;
+    const commit_token token = state.requested_commits.size() + 1;
     const std::string id = "op-" + std::to_string(token);
-    state.asked[token] = {place, node.life, id};
+    state.requested_commits[token] = {place, node.life, id};
     act(state.fleet, place,
         [&](fleet_node& self, time_point now, random_source& random,
             control_actions& actions)
@@ -112,9 +112,9 @@
         });
 }
 
-void cut_links(world& state, fault kind)
+void cut_links(test_state& state, fault kind)
 {
-    const host_id one = state.fleet.nodes[some_node(state)].host;
+    const host_id one = state.fleet.nodes[random_node(state)].host;
     const std::string& name = three_data_centres[random_below(state.random, 3)];
     const std::uint64_t half = random_below(state.random, 64);
     if (kind == fault::cut_data_centre)
@@ -151,7 +151,7 @@
     }
 }
 
-void break_platform(world& state, fault kind)
+void break_platform(test_state& state, fault kind)
 {
     store_faults& faults = state.fleet.platform.faults;
     faults.down = kind == fault::platform_down;
@@ -160,10 +160,10 @@
         kind == fault::platform_loses_answers ? 0.5 : 0.0;
 }
 
-void cause(world& state, fault kind)
+void inject_fault(test_state& state, fault kind)
 {
     fake_fleet& fleet = state.fleet;
-    const std::size_t place = some_node(state);
+    const std::size_t place = random_node(state);
     switch (kind)
     {
     case fault::noisy_links:
@@ -174,7 +174,7 @@
     case fault::cut_inside:
         cut_links(state, kind);
         return;
-    case fault::mend_links:
+    case fault::restore_links:
         fleet.may_pass = {};
         fleet.faults = {};
         return;
@@ -183,7 +183,7 @@
         return;
     case fault::restart:
         kill_node(fleet, place);
-        // Now and then the new process has a clock that is behind.
+        // In half of the restarts, the wall clocks are set back by 5 s.
         fleet.wall_clock_ms -= random_below(state.random, 2) * 5000;
         start_node(fleet, place);
         return;
@@ -195,29 +195,29 @@
     case fault::platform_down:
     case fault::platform_slow:
     case fault::platform_loses_answers:
-    case fault::platform_well:
+    case fault::platform_recovers:
         break_platform(state, kind);
         return;
-    case fault::lapse_leases:
+    case fault::expire_leases:
         store_lapse_all_leases(fleet.platform, fleet.now);
         return;
     case fault::cut_from_platform:
         cut_from_platform(fleet, place);
         return;
     case fault::commit:
-        ask_commit(state, place);
+        request_commit(state, place);
         return;
     case fault::racing_commits:
-        ask_commit(state, place);
-        ask_commit(state, some_node(state));
-        ask_commit(state, some_node(state));
+        request_commit(state, place);
+        request_commit(state, random_node(state));
+        request_commit(state, random_node(state));
         return;
     case fault::count:
         return;
     }
 }
 
-void run_checked(world& state, duration span)
+void run_checked(test_state& state, duration span)
 {
     run_until(
         state.fleet, state.fleet.now + span,
@@ -227,7 +227,7 @@
         });
 }
 
-void end_faults(world& state)
+void end_faults(test_state& state)
 {
     fake_fleet& fleet = state.fleet;
     fleet.may_pass = {};
@@ -245,7 +245,7 @@
     }
 }
 
-// The operation ids of the chain, as the platform holds it.
+// Returns the operation ids of the chain stored in the platform.
 std::vector<std::string> chain_in_platform(const fake_fleet& fleet)
 {
     std::vector<std::string> ids;
@@ -259,14 +259,14 @@
     return ids;
 }
 
-// What is wrong with the answers to commits, or nothing.
-std::string check_results(const world& state)
+// Returns the first wrong result of a commit, or an empty string.
+std::string check_results(const test_state& state)
 {
     const auto chain = chain_in_platform(state.fleet);
-    for (const auto& [token, asked] : state.asked)
+    for (const auto& [token, requested] : state.requested_commits)
     {
-        const fleet_node& node = state.fleet.nodes[asked.node];
-        if (node.life != asked.life)
+        const fleet_node& node = state.fleet.nodes[requested.node];
+        if (node.life != requested.node_incarnation)
         {
             continue;
         }
@@ -274,9 +274,9 @@
             node.chain->results, token, &commit_result::token);
         if (result == node.chain->results.end())
         {
-            return asked.operation_id + " was never answered";
+            return requested.operation_id + " has no result";
         }
-        const auto found = std::ranges::find(chain, asked.operation_id);
+        const auto found = std::ranges::find(chain, requested.operation_id);
         const bool is_present = found != chain.end();
         const auto revision =
             static_cast<std::uint64_t>(found - chain.begin()) + 1;
@@ -285,18 +285,20 @@
         if (result->status == commit_status::committed &&
             (!is_present || revision != result->revision))
         {
-            return asked.operation_id + " was said to be in the chain";
+            return requested.operation_id +
+                   " is not in the chain at its reported revision";
         }
         if (denied && is_present)
         {
-            return asked.operation_id + " was said not to be in the chain";
+            return requested.operation_id +
+                   " was reported rejected but is in the chain";
         }
     }
-    return state.broken;
+    return state.violation;
 }
 
-// What the nodes do not agree about, or nothing.
-std::string check_agreement(world& state)
+// Returns what the nodes disagree about, or an empty string.
+std::string check_agreement(test_state& state)
 {
     fake_fleet& fleet = state.fleet;
     const auto same_revision = [&]
@@ -313,7 +315,7 @@
     {
         return is_converged(fleet) && same_revision();
     };
-    if (!run_until_true(fleet, settle_time, agrees))
+    if (!run_until_true(fleet, agreement_timeout, agrees))
     {
         return is_converged(fleet) ? "revisions differ" : "members differ";
     }
@@ -321,11 +323,12 @@
     return agrees() ? "" : "agreement did not last";
 }
 
-// Runs a fleet through the faults; what went wrong, or nothing.
+// Runs a fleet with the faults. Returns the first violation, or an empty
+// string.
 std::string
 run_faults(std::uint32_t seed, const std::vector<std::uint8_t>& faults)
 {
-    world state(seed);
+    test_state state(seed);
     for (std::size_t place = 0; place < node_count; ++place)
     {
         add_node(
@@ -338,7 +341,7 @@
     run_checked(state, 15s);
     for (const std::uint8_t kind : faults)
     {
-        cause(state, static_cast<fault>(kind));
+        inject_fault(state, static_cast<fault>(kind));
         run_checked(
             state,
             std::chrono::milliseconds(random_below(state.random, 12'000)));
@@ -358,12 +361,12 @@
 RC_GTEST_PROP(
     membership_faults, the_fleet_agrees_after_any_faults, (std::uint32_t seed))
 {
-    // The size bounds the number of faults; each kind is drawn at any size.
+    // The size limits the number of faults; each kind is drawn at every size.
     const auto kinds = rc::gen::resize(
         rc::kNominalSize, rc::gen::inRange<std::uint8_t>(
                               0, static_cast<std::uint8_t>(fault::count)));
     const auto faults = *rc::gen::resize(
-        most_faults, rc::gen::container<std::vector<std::uint8_t>>(kinds));
+        max_faults, rc::gen::container<std::vector<std::uint8_t>>(kinds));
     RC_ASSERT(run_faults(seed, faults) == "");
 }
 
--- a/tests/core/membership_test.cpp
+++ b/tests/core/membership_test.cpp
@@ -45,11 +45,11 @@
     return true;
 }
 
-TEST(membership, a_fleet_finds_itself)
+TEST(membership, nodes_discover_each_other)
 {
     fake_fleet fleet(1);
     {
-        SCOPED_TRACE("through entries in the platform");
+        SCOPED_TRACE("members discover each other by entries in the platform");
         add_nodes(fleet, three_data_centres, 12);
         EXPECT_TRUE(run_until_true(
             fleet, 20s,
@@ -64,7 +64,7 @@
         EXPECT_EQ(fleet.platform.values.size(), 9U);
     }
     {
-        SCOPED_TRACE("a newcomer finds them by an address of its settings");
+        SCOPED_TRACE("a new node joins by a seed address of its settings");
         fleet.platform.faults.down = true;
         const auto added = add_node(fleet, "brno");
         fleet.nodes[added].settings.seeds = {fleet.nodes[1].host};
@@ -77,13 +77,13 @@
             }));
     }
     {
-        SCOPED_TRACE("and the platform's absence changes nothing");
+        SCOPED_TRACE("a platform outage does not affect membership");
         run_for(fleet, 120s);
         EXPECT_TRUE(is_converged(fleet));
     }
 }
 
-TEST(membership, upstreams_come_and_go)
+TEST(membership, upstream_changes_propagate)
 {
     fake_fleet fleet(2);
     add_nodes(fleet, three_data_centres, 12);
@@ -94,7 +94,7 @@
             return is_converged(fleet);
         }));
     {
-        SCOPED_TRACE("an announcement reaches all");
+        SCOPED_TRACE("an announcement reaches all members");
         announce(fleet, 0, serving("booking"));
         EXPECT_TRUE(run_until_true(
             fleet, 2s,
@@ -104,7 +104,7 @@
             }));
     }
     {
-        SCOPED_TRACE("a drain is known everywhere within 3 s at 5% loss");
+        SCOPED_TRACE("a drain reaches all members within 3 s at 5% loss");
         fleet.faults.loss = 0.05;
         auto record = serving("booking");
         record.state = upstream_state::draining;
@@ -117,7 +117,7 @@
             }));
     }
     {
-        SCOPED_TRACE("so is its host's leave");
+        SCOPED_TRACE("the leave of its host reaches all members within 3 s");
         act(fleet, 0,
             [](fleet_node& node, time_point now, random_source& random,
                control_actions& actions)
@@ -134,7 +134,7 @@
     }
 }
 
-TEST(membership, hosts_fail_and_are_replaced)
+TEST(membership, host_failure_and_replacement)
 {
     fake_fleet fleet(3);
     add_nodes(fleet, three_data_centres, 12);
@@ -149,7 +149,7 @@
             return is_converged(fleet);
         }));
     {
-        SCOPED_TRACE("a dead host is removed everywhere within 10 s");
+        SCOPED_TRACE("a failed host is removed by all members within 10 s");
         kill_node(fleet, 4);
         EXPECT_TRUE(run_until_true(
             fleet, 10s,
@@ -159,7 +159,8 @@
             }));
     }
     {
-        SCOPED_TRACE("a replacement at its address is a new incarnation");
+        SCOPED_TRACE(
+            "a replacement at the same address joins as a new incarnation");
         start_node(fleet, 4);
         EXPECT_TRUE(run_until_true(
             fleet, 10s,
@@ -169,7 +170,7 @@
             }));
     }
     {
-        SCOPED_TRACE("also when its wall clock is behind");
+        SCOPED_TRACE("a replacement joins also when its wall clock is behind");
         kill_node(fleet, 4);
         fleet.wall_clock_ms -= 1'000'000;
         start_node(fleet, 4);
@@ -181,7 +182,7 @@
             }));
     }
     {
-        SCOPED_TRACE("a paused host is removed and comes back");
+        SCOPED_TRACE("a paused host is removed and rejoins");
         fleet.nodes[5].paused_until = fleet.now + 30s;
         EXPECT_TRUE(run_until_true(
             fleet, 10s,
@@ -196,7 +197,7 @@
             {
                 return is_converged(fleet);
             }));
-        SCOPED_TRACE("and takes nobody else for dead");
+        SCOPED_TRACE("the paused host declares no other member dead");
         for (const auto& happened : fleet.nodes[5].events)
         {
             EXPECT_FALSE(
@@ -206,7 +207,7 @@
     }
 }
 
-TEST(membership, data_centres_are_cut_off)
+TEST(membership, data_centre_partition)
 {
     fake_fleet fleet(4);
     add_nodes(fleet, three_data_centres, 12);
@@ -226,7 +227,8 @@
                (to.data_centre_name == "brno");
     };
     {
-        SCOPED_TRACE("its upstreams get no work from outside after 10 s");
+        SCOPED_TRACE("upstreams of a cut-off data centre are excluded outside "
+                     "within 10 s");
         EXPECT_TRUE(run_until_true(
             fleet, 10s,
             [&]
@@ -237,13 +239,14 @@
         EXPECT_TRUE(offers(fleet, 0, 3, upstream_state::serving));
     }
     {
-        SCOPED_TRACE("none of its hosts is held for dead");
+        SCOPED_TRACE("none of its hosts is declared dead");
         run_for(fleet, 120s);
         EXPECT_EQ(state_of(fleet, 1, 0), member_state::alive);
         EXPECT_EQ(state_of(fleet, 0, 1), member_state::alive);
     }
     {
-        SCOPED_TRACE("what changed meanwhile is known soon after it ends");
+        SCOPED_TRACE(
+            "changes during the partition reach all members after it ends");
         kill_node(fleet, 3);
         announce(fleet, 1, {"renewal", upstream_state::serving, 15, 200, 0});
         run_for(fleet, 30s);
@@ -269,7 +272,8 @@
             return is_converged(fleet);
         }));
     {
-        SCOPED_TRACE("one lost direction between two hosts harms nobody");
+        SCOPED_TRACE("one lost direction between two hosts has no effect on "
+                     "the members");
         const host_id from = fleet.nodes[0].host;
         const host_id to = fleet.nodes[1].host;
         fleet.may_pass = [=](const fleet_node& left, const fleet_node& right)
@@ -280,7 +284,8 @@
         EXPECT_TRUE(is_converged(fleet));
     }
     {
-        SCOPED_TRACE("two halves lose each other and meet again");
+        SCOPED_TRACE(
+            "two partitioned halves declare each other dead and merge again");
         fleet.may_pass = [&](const fleet_node& left, const fleet_node& right)
         {
             return (fleet.index.at(left.host) < 3) ==
@@ -298,9 +303,10 @@
     }
 }
 
-// Found by the random faults: a starting node whose list was never answered
-// stayed alone for good.
-TEST(membership, an_unanswered_call_holds_nobody_up)
+// Guards against a starting node that never joins: without an answer to its
+// first list call, the node sent no other one. Checks the chain's read
+// likewise.
+TEST(membership, unanswered_platform_call_times_out)
 {
     membership_state members;
     chain_state chain;
