--- a/src/core/claims/steward.cpp
+++ b/src/core/claims/steward.cpp
@@ -110,7 +110,7 @@
     if (in.claim_id == 0)
     {
         withdraw_claim(
-            records, name, requester_of(from, in.incarnation, in.token));
+            records, claimed_key, requester_of(from, in.incarnation, in.token));
     }
     else if (in.result <= static_cast<std::uint8_t>(outcome::unknown))
     {
