--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -49,7 +49,7 @@
             {
                 continue;
             }
-            const member_report report{
+            const member_status_report report{
                 other.host,
                 other.running ? other.membership->self_incarnation : 1, 0,
                 other.settings.data_centre, member_state::alive};
--- a/src/core/membership/member_table.cpp
+++ b/src/core/membership/member_table.cpp
@@ -34,7 +34,7 @@
         known.upstream.version);
 }
 
-bool is_newer(const member_report& report, const member& known)
+bool is_newer(const member_status_report& report, const member& known)
 {
     return std::tuple(
                report.host_incarnation, report.refutation,
@@ -114,7 +114,7 @@
 
 // Handles a report about this node: supersedes a wrong one with a higher
 // incarnation or refutation. True if it did.
-bool refute(membership_state& state, const member_report& report)
+bool refute(membership_state& state, const member_status_report& report)
 {
     if (report.host_incarnation > state.self_incarnation)
     {
@@ -137,7 +137,7 @@
     return true;
 }
 
-member& add_member(membership_state& state, const member_report& report)
+member& add_member(membership_state& state, const member_status_report& report)
 {
     member& added = state.members[report.host];
     added.host = report.host;
@@ -149,7 +149,7 @@
 
 // Applies a newer report to a member; the caller updates the digest.
 void apply_report(
-    membership_state& state, member& known, const member_report& report,
+    membership_state& state, member& known, const member_status_report& report,
     time_point now, control_actions& actions)
 {
     const bool was_present = is_present(known.state);
@@ -177,21 +177,21 @@
     ++state.version;
 }
 
-bool is_usable(const member_report& report)
+bool is_usable(const member_status_report& report)
 {
     return report.host != host_id::none && report.host_incarnation != 0;
 }
 
 } // namespace
 
-member_report report_of(const member& known)
+member_status_report report_of(const member& known)
 {
     return {
         known.host, known.host_incarnation, known.refutation, known.data_centre,
         known.state};
 }
 
-member_report own_report(const membership_state& state)
+member_status_report own_report(const membership_state& state)
 {
     return {
         state.settings.self, state.self_incarnation, state.self_refutation,
@@ -200,7 +200,7 @@
 }
 
 bool merge_report(
-    membership_state& state, const member_report& report, time_point now,
+    membership_state& state, const member_status_report& report, time_point now,
     control_actions& actions)
 {
     if (!is_usable(report))
@@ -231,7 +231,7 @@
 }
 
 bool merge_record(
-    membership_state& state, const member_report& report,
+    membership_state& state, const member_status_report& report,
     const upstream_record& upstream, time_point now, control_actions& actions)
 {
     const bool changed = merge_report(state, report, now, actions);
@@ -300,7 +300,7 @@
         if (const auto found = state.members.find(host);
             found != state.members.end())
         {
-            member_report report = report_of(found->second);
+            member_status_report report = report_of(found->second);
             report.state = member_state::dead;
             merge_report(state, report, now, actions);
         }
--- a/src/core/membership/member_table.hpp
+++ b/src/core/membership/member_table.hpp
@@ -12,7 +12,7 @@
 {
 
 // A report of a member's state.
-struct member_report
+struct member_status_report
 {
     host_id host = host_id::none;
     incarnation host_incarnation = 0;
@@ -28,20 +28,20 @@
     return state == member_state::alive || state == member_state::suspect;
 }
 
-[[nodiscard]] member_report report_of(const member& known);
+[[nodiscard]] member_status_report report_of(const member& known);
 
 // The report of this node about itself.
-[[nodiscard]] member_report own_report(const membership_state& state);
+[[nodiscard]] member_status_report own_report(const membership_state& state);
 
 // Applies a report if it is newer than the member's entry. A wrong report about
 // this node is refuted. Returns true if anything changed.
 bool merge_report(
-    membership_state& state, const member_report& report, time_point now,
+    membership_state& state, const member_status_report& report, time_point now,
     control_actions& actions);
 
 // Merges a report and the member's upstream. Returns true if anything changed.
 bool merge_record(
-    membership_state& state, const member_report& report,
+    membership_state& state, const member_status_report& report,
     const upstream_record& upstream, time_point now, control_actions& actions);
 
 // Records a message received from the member itself, and the configuration
--- a/src/core/membership/membership_wire.cpp
+++ b/src/core/membership/membership_wire.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t record_overhead = 64;
 constexpr std::size_t max_service_name_size = 255;
 
-wire_format::member_status to_wire(const member_report& report)
+wire_format::member_status to_wire(const member_status_report& report)
 {
     return {
         static_cast<std::uint64_t>(report.host), report.host_incarnation,
@@ -27,7 +27,7 @@
            status.state() <= static_cast<std::uint8_t>(member_state::left);
 }
 
-member_report from_wire(const wire_format::member_status& status)
+member_status_report from_wire(const wire_format::member_status& status)
 {
     return {
         static_cast<host_id>(status.host()), status.incarnation(),
--- a/src/core/membership/membership_wire.hpp
+++ b/src/core/membership/membership_wire.hpp
@@ -13,7 +13,7 @@
 
 struct member_update
 {
-    member_report report;
+    member_status_report report;
     upstream_record upstream;
     // If false, only the report is sent, not the upstream.
     bool includes_upstream = false;
@@ -29,7 +29,7 @@
 {
     wire::membership::message_body kind =
         wire::membership::message_body::gossip;
-    member_report sender;
+    member_status_report sender;
     std::uint64_t sender_upstream_version = 0;
     std::uint64_t revision = 0;
     std::vector<data_centre_age> contacts;
--- a/src/core/membership/probing.cpp
+++ b/src/core/membership/probing.cpp
@@ -110,7 +110,7 @@
     {
         return;
     }
-    member_report report = report_of(found->second);
+    member_status_report report = report_of(found->second);
     report.state = member_state::suspect;
     merge_report(state, report, now, actions);
 }
