--- a/src/adapters/call_driver.cpp
+++ b/src/adapters/call_driver.cpp
@@ -312,7 +312,7 @@
 }
 
 asio::awaitable<call_step>
-wait_for_claim(call_run& run, const claim_question& requested_claim)
+wait_for_claim(call_run& run, const claim_request& requested_claim)
 {
     run.caller->thread.control.request_claim(requested_claim);
     const auto wakeup = co_await wait_for_wakeup(run);
--- a/src/core/configuration/chain_peers.cpp
+++ b/src/core/configuration/chain_peers.cpp
@@ -180,7 +180,7 @@
     if (random_fraction(random) < remote_probability)
     {
         send(
-            pick_far_host(members, random), message, transport::datagram,
+            pick_remote_host(members, random), message, transport::datagram,
             actions);
     }
 }
--- a/src/core/configuration/chain_watch.cpp
+++ b/src/core/configuration/chain_watch.cpp
@@ -261,8 +261,8 @@
     {
         watch.next_watcher_check_at =
             now + jittered(watcher_check_interval, random);
-        watch.is_watcher =
-            is_chosen_member(members, watcher_salt, watchers_per_data_centre);
+        watch.is_watcher = is_rendezvous_member(
+            members, watcher_salt, watchers_per_data_centre);
     }
     if (!watch.is_watcher)
     {
--- a/src/core/configuration/snapshot_maintenance.cpp
+++ b/src/core/configuration/snapshot_maintenance.cpp
@@ -196,7 +196,7 @@
     const bool enough_changes =
         state.current->revision >=
         maintenance.snapshot_revision + changes_between_snapshots;
-    if (!enough_changes || !is_chosen_member(members, maintenance_salt, 1))
+    if (!enough_changes || !is_rendezvous_member(members, maintenance_salt, 1))
     {
         return;
     }
--- a/src/core/request/call.hpp
+++ b/src/core/request/call.hpp
@@ -109,7 +109,7 @@
     // The values that decided a refusal, for the log.
     std::string inputs;
     stored_reply reply;
-    claim_question requested_claim;
+    claim_request requested_claim;
     routing_candidate target;
     request_context context;
 };
