--- a/src/adapters/call_driver.cpp
+++ b/src/adapters/call_driver.cpp
@@ -138,7 +138,7 @@
 void fill_forwarded_fields(call_run& run, const call_request& request)
 {
     const node_services& services = run.caller->thread.services;
-    const header_names& names = services.dialect.headers;
+    const header_names& names = services.profile.headers;
     auto& fields = run.head.headers;
     fields = forwarded_fields(
         run.caller->parser->get().base(), names,
--- a/src/adapters/caller_session.cpp
+++ b/src/adapters/caller_session.cpp
@@ -173,7 +173,7 @@
     {
         request.key = std::string(key);
     }
-    const header_names& names = caller.thread.services.dialect.headers;
+    const header_names& names = caller.thread.services.profile.headers;
     request.host = view_of(message[http::field::host]);
     request.timeout = timeout_of(message, names, malformed);
     request.request_id = field_value(message, names.request_id);
@@ -226,7 +226,7 @@
 // The parent of a child call, from the handle that the upstream was given.
 running_request_ptr parent_of(const caller_connection& caller)
 {
-    const header_names& names = caller.thread.services.dialect.headers;
+    const header_names& names = caller.thread.services.profile.headers;
     return find_running(
         caller.thread.gate.handles,
         field_value(caller.parser->get(), names.call_handle));
@@ -235,9 +235,9 @@
 asio::awaitable<void>
 serve_request(caller_ptr caller, session_settings settings)
 {
-    const node_dialect& dialect = caller->thread.services.dialect;
+    const protocol_profile& profile = caller->thread.services.profile;
     if (settings.side == session_side::upstream &&
-        dialect.read_notice != nullptr)
+        profile.parse_upstream_message != nullptr)
     {
         co_await serve_notice(caller, settings.upstream);
         co_return;
--- a/src/adapters/http_fields.hpp
+++ b/src/adapters/http_fields.hpp
@@ -1,7 +1,7 @@
 // Which header fields pass through a node, and which it adds.
 #pragma once
 
-#include "ports/dialect.hpp"
+#include "ports/protocol_profile.hpp"
 #include "wire/frame_codec.hpp"
 
 #include <boost/beast/http/fields.hpp>
--- a/src/adapters/local_gate.cpp
+++ b/src/adapters/local_gate.cpp
@@ -19,7 +19,7 @@
     seen.trace = work.context.trace;
     seen.workspace = work.context.workspace;
     seen.request_id = field_value(
-        work.head.headers, gate.services.dialect.headers.request_id);
+        work.head.headers, gate.services.profile.headers.request_id);
     seen.detail = std::move(detail);
     gate.services.record(seen);
 }
@@ -67,7 +67,7 @@
         call.upstream_id = gate->pool.upstream_id;
     }
     call.handle = request->handle;
-    call.names = &gate->services.dialect.headers;
+    call.names = &gate->services.profile.headers;
     call.body_stall_timeout = gate->services.limits.body_stall_timeout;
     call.report = [gate, record = request->record]
     {
--- a/src/adapters/node_runtime.cpp
+++ b/src/adapters/node_runtime.cpp
@@ -217,11 +217,11 @@
     membership.suspicion_time = node.settings.membership.suspicion_time;
     membership.indirect_probes = node.settings.membership.indirect_probes;
     settings.chain = {node.services.self, data_centre};
-    const node_dialect& dialect = node.services.dialect;
-    if (dialect.read_document != nullptr)
+    const protocol_profile& profile = node.services.profile;
+    if (profile.read_document != nullptr)
     {
-        settings.document.key = dialect.document_key;
-        settings.document.read = dialect.read_document;
+        settings.document.key = profile.document_key;
+        settings.document.read = profile.read_document;
         settings.document.fleet_secret = node.services.fleet_secret;
         for (const auto& name : node.settings.data_centres)
         {
@@ -545,7 +545,7 @@
 
 absl::StatusOr<std::shared_ptr<node_runtime>> start_node(
     const node_settings& settings, const node_secrets& secrets,
-    const node_dialect& dialect, const json_log& log)
+    const protocol_profile& profile, const json_log& log)
 {
     const std::uint64_t started_ms = wall_clock_ms();
     auto node = std::make_shared<node_runtime>(settings, log, started_ms);
@@ -553,9 +553,9 @@
     node->services.path.fleet_secret = secrets.fleet_secret;
     node->services.self_incarnation = started_ms;
     node->services.limits = limits_of(settings.limits);
-    node->services.dialect = dialect;
+    node->services.profile = profile;
     node->services.local_service = settings.service;
-    node->services.path.keyless_are_calls = dialect.headers.call_handle.empty();
+    node->services.path.keyless_are_calls = profile.headers.call_handle.empty();
     node->services.path.retries_turned_away =
         node->services.path.keyless_are_calls;
     node->gate.gate.settings = {
@@ -586,7 +586,7 @@
         platform_connection_settings platform;
         platform.endpoint = tcp_endpoint_of(settings.platform);
         platform.seed = started_ms;
-        platform.codec = dialect.store;
+        platform.codec = profile.store;
         start_control(
             node->control, control_settings_of(*node), open_datagrams(*node),
             platform);
--- a/src/adapters/node_runtime.hpp
+++ b/src/adapters/node_runtime.hpp
@@ -50,7 +50,7 @@
 // fails.
 [[nodiscard]] absl::StatusOr<std::shared_ptr<node_runtime>> start_node(
     const node_settings& settings, const node_secrets& secrets,
-    const node_dialect& dialect, const json_log& log);
+    const protocol_profile& profile, const json_log& log);
 
 [[nodiscard]] bound_ports ports_of(const node_runtime& node);
 
--- a/src/adapters/node_services.hpp
+++ b/src/adapters/node_services.hpp
@@ -8,9 +8,9 @@
 #include "core/base/ids.hpp"
 #include "core/events/hybrid_clock.hpp"
 #include "core/request/call.hpp"
-#include "ports/dialect.hpp"
 #include "ports/events.hpp"
 #include "ports/messages.hpp"
+#include "ports/protocol_profile.hpp"
 
 #include <chrono>
 #include <cstdint>
@@ -43,7 +43,7 @@
     host_id self = host_id::none;
     incarnation self_incarnation = 0;
     std::string fleet_secret;
-    node_dialect dialect;
+    protocol_profile profile;
     // The service of the upstream on this host, as the settings give it.
     std::string local_service;
     http_limits limits;
--- a/src/adapters/reply_writer.cpp
+++ b/src/adapters/reply_writer.cpp
@@ -20,7 +20,7 @@
 
 const header_names& names_of(const caller_connection& caller)
 {
-    return caller.thread.services.dialect.headers;
+    return caller.thread.services.profile.headers;
 }
 
 // Retry-After in seconds; fractions only where callers read them.
--- a/src/adapters/upstream_requests.cpp
+++ b/src/adapters/upstream_requests.cpp
@@ -117,7 +117,7 @@
     const auto& request = caller->parser->get();
     const std::string method(request.method_string());
     const std::string target(request.target());
-    const auto notice = caller->thread.services.dialect.read_notice(
+    const auto notice = caller->thread.services.profile.parse_upstream_message(
         method, target, caller->prefix);
     if (const auto* found = std::get_if<findings>(&notice))
     {
--- a/src/apps/cyclamen-node/main.cpp
+++ b/src/apps/cyclamen-node/main.cpp
@@ -1,7 +1,7 @@
 // cyclamen-node: the process beside each upstream.
 #include "adapters/node_runtime.hpp"
 #include "adapters/secrets.hpp"
-#include "platform/dialect.hpp"
+#include "platform/protocol_profile.hpp"
 
 #include <boost/json.hpp>
 #include <cxxopts.hpp>
@@ -140,8 +140,8 @@
         std::cerr << status.message() << '\n';
         return exit_failed;
     }
-    const node_dialect dialect = dialect_of(settings.interface);
-    const auto node = start_node(settings, secrets, dialect, log);
+    const protocol_profile profile = profile_of(settings.interface);
+    const auto node = start_node(settings, secrets, profile, log);
     if (!node.ok())
     {
         std::cerr << node.status().message() << '\n';
--- a/src/core/base/outcome.hpp
+++ b/src/core/base/outcome.hpp
@@ -151,7 +151,7 @@
 
 // The statuses by which a refusal promises that the request has not run and
 // will not run.
-[[nodiscard]] constexpr bool is_promise(unsigned status)
+[[nodiscard]] constexpr bool is_not_run_status(unsigned status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
@@ -163,11 +163,11 @@
     const unsigned status = http_status_of(reason);
     if (result == outcome::not_run)
     {
-        const bool is_promised = reason == refusal::deadline_exceeded ||
-                                 reason == refusal::upstream_failed;
-        return is_promised ? 503 : status;
+        const bool is_ambiguous = reason == refusal::deadline_exceeded ||
+                                  reason == refusal::upstream_failed;
+        return is_ambiguous ? 503 : status;
     }
-    return is_promise(status) ? 502 : status;
+    return is_not_run_status(status) ? 502 : status;
 }
 
 } // namespace cyclamenhold
--- a/src/ports/dialect.hpp
+++ b/src/ports/protocol_profile.hpp
@@ -75,14 +75,14 @@
 
 // What a request on the upstream's port asks; monostate for one that is no
 // announcement, findings for one that cannot be read.
-using upstream_notice = std::variant<
+using upstream_message = std::variant<
     std::monostate, upstream_announcement, upstream_departure, findings>;
 
-struct node_dialect
+struct protocol_profile
 {
     header_names headers;
     // Reads a request on the upstream's port; null for the product's own.
-    upstream_notice (*read_notice)(
+    upstream_message (*parse_upstream_message)(
         std::string_view method, std::string_view target,
         std::string_view body) = nullptr;
     // Reads the operators' whole configuration from the store's value. Null
--- a/src/wire/frame_codec.cpp
+++ b/src/wire/frame_codec.cpp
@@ -119,7 +119,7 @@
     return text == nullptr ? std::string() : text->str();
 }
 
-bool has_required_parts(const wire::frame& frame)
+bool has_required_fields(const wire::frame& frame)
 {
     // A valid buffer may name a body and leave it out.
     if (frame.body() == nullptr)
@@ -322,7 +322,7 @@
         return nullptr;
     }
     const auto* frame = wire::Getframe(payload.data());
-    return has_required_parts(*frame) ? frame : nullptr;
+    return has_required_fields(*frame) ? frame : nullptr;
 }
 
 request_context context_of(const wire::open_stream& open, time_point now)
--- a/tests/adapters/ctl_node_test.cpp
+++ b/tests/adapters/ctl_node_test.cpp
@@ -4,7 +4,7 @@
 #include "platform_server.hpp"
 #include "trace.hpp"
 
-#include "platform/dialect.hpp"
+#include "platform/protocol_profile.hpp"
 
 #include <chrono>
 #include <fstream>
@@ -116,7 +116,7 @@
     running_platform platform;
     auto node = start_node(
         settings_for(platform.endpoint()), {"0123456789abcdef", credential},
-        dialect_of(interface_kind::cyclamen), {});
+        profile_of(interface_kind::cyclamen), {});
     ASSERT_TRUE(node.ok()) << node.status();
     const std::string credential_file =
         testing::TempDir() + "cyclamen_ctl_node_credential";
--- a/tests/core/entry_test.cpp
+++ b/tests/core/entry_test.cpp
@@ -138,8 +138,9 @@
     for (const auto& [reason, name] : enum_names<refusal>::table)
     {
         SCOPED_TRACE(std::string(name));
-        EXPECT_FALSE(is_promise(http_status_of(reason, outcome::unknown)));
-        EXPECT_FALSE(is_promise(http_status_of(reason, outcome::ran)));
+        EXPECT_FALSE(
+            is_not_run_status(http_status_of(reason, outcome::unknown)));
+        EXPECT_FALSE(is_not_run_status(http_status_of(reason, outcome::ran)));
     }
     EXPECT_EQ(
         http_status_of(refusal::deadline_exceeded, outcome::not_run), 503U);
