--- a/src/core/base/findings.hpp
+++ b/src/core/base/findings.hpp
@@ -1,4 +1,5 @@
-// Problems found in an input, each with its place, reported all together.
+// Problems found in an input, each with its place. All problems of an input are
+// reported together.
 #pragma once
 
 #include <string>
@@ -10,8 +11,8 @@
 
 struct finding
 {
-    // A JSON pointer into the input, or "line 3, column 7" where the text
-    // cannot be parsed at all.
+    // A JSON pointer into the input, the name of a parameter or option, or
+    // "line 3, column 7" for text that cannot be parsed.
     std::string place;
     std::string message;
     bool operator==(const finding&) const = default;
@@ -24,7 +25,7 @@
     found.push_back({std::move(place), std::move(message)});
 }
 
-// One line a finding, "place: message".
+// One line per finding, "place: message".
 [[nodiscard]] inline std::string to_string(const findings& found)
 {
     std::string text;
--- a/src/core/base/ids.cpp
+++ b/src/core/base/ids.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// Never zero, which stands for "none".
+// Never zero, which is reserved for "none".
 std::uint64_t hash_name(std::string_view name)
 {
     const std::uint64_t hash = XXH3_64bits(name.data(), name.size());
--- a/src/core/base/ids.hpp
+++ b/src/core/base/ids.hpp
@@ -1,6 +1,6 @@
-// Identifiers. Those of named things are hashes of their names, so that every
-// process derives the same id without asking anyone; a configuration in which
-// two names collide is rejected when it is planned.
+// Identifiers. The ids of workspaces, services and data centres are hashes of
+// their names, so that every process derives the same id without coordination.
+// Planning rejects a configuration in which two names collide.
 #pragma once
 
 #include <compare>
@@ -36,11 +36,12 @@
     none = 0
 };
 
-// One life of a process at a host. Larger is newer: the wall clock at start in
-// milliseconds, raised past any incarnation that others remember.
+// One run of a node process on a host. Larger is newer: the wall clock at start
+// in milliseconds since the Unix epoch, raised above any older incarnation of
+// which other members have a record.
 using incarnation = std::uint64_t;
 
-// Names one root request and all of its child calls in every log and event.
+// Identifies one root request and all of its child calls in logs and events.
 struct trace_id
 {
     std::uint64_t high = 0;
@@ -52,7 +53,7 @@
 [[nodiscard]] service_id service_id_of(std::string_view name);
 [[nodiscard]] data_centre_id data_centre_id_of(std::string_view name);
 
-// Makes a host_id of an IPv4 address in host byte order and a port.
+// The host_id of an IPv4 address in host byte order and a port.
 [[nodiscard]] constexpr host_id
 make_host_id(std::uint32_t ipv4, std::uint16_t port)
 {
@@ -60,7 +61,8 @@
         (static_cast<std::uint64_t>(ipv4) << 16) | port);
 }
 
-// Parses "10.0.0.1:7400"; nullopt unless it is an IPv4 address and a port.
+// Parses "10.0.0.1:7400"; nullopt unless the text is an IPv4 address and a port
+// from 1 to 65535.
 [[nodiscard]] std::optional<host_id> parse_host_id(std::string_view text);
 
 // "10.0.0.1:7400".
--- a/src/core/base/ip_endpoint.hpp
+++ b/src/core/base/ip_endpoint.hpp
@@ -1,4 +1,4 @@
-// Where a socket is bound or connected.
+// The address and port to which a socket is bound or connected.
 #pragma once
 
 #include "core/base/ids.hpp"
@@ -11,8 +11,8 @@
 namespace cyclamenhold
 {
 
-// An IPv4 address in host byte order and a port; port 0 stands for any free
-// one where a socket is bound.
+// An IPv4 address in host byte order and a port. A socket bound to port 0 gets
+// any free port.
 struct ip_endpoint
 {
     std::uint32_t address = 0;
@@ -25,7 +25,7 @@
 parse_ip_endpoint(std::string_view text);
 [[nodiscard]] std::string to_string(const ip_endpoint& endpoint);
 
-// The host's id; host_id::none while the port is still to be chosen.
+// The host_id of the endpoint, or host_id::none if its port is 0.
 [[nodiscard]] host_id host_id_of(const ip_endpoint& endpoint);
 
 } // namespace cyclamenhold
--- a/src/core/base/names.hpp
+++ b/src/core/base/names.hpp
@@ -1,4 +1,4 @@
-// Tables that tie the values of an enumeration to their names in settings,
+// Tables that map the values of an enumeration to their names in settings,
 // logs, metrics and the operators' API.
 #pragma once
 
@@ -10,12 +10,12 @@
 namespace cyclamenhold
 {
 
-// Specialised beside each enumeration with a member
+// Specialised next to each enumeration, with a member
 // `static constexpr std::array<std::pair<Enum, std::string_view>, N> table`.
 template <class Enum>
 struct enum_names;
 
-// The name of a value, or "?" for one that is not in the table.
+// The name of a value, or "?" if the table does not contain it.
 template <class Enum>
 [[nodiscard]] constexpr std::string_view name_of(Enum value)
 {
@@ -29,7 +29,7 @@
     return "?";
 }
 
-// The value with this name, if there is one.
+// The value with this name, or nullopt if there is none.
 template <class Enum>
 [[nodiscard]] constexpr std::optional<Enum> value_named(std::string_view text)
 {
--- a/src/core/base/outcome.hpp
+++ b/src/core/base/outcome.hpp
@@ -1,4 +1,5 @@
-// What a caller is told about a request that did not simply succeed.
+// Outcomes of requests, reasons for refusals, and the HTTP statuses that report
+// them to callers.
 #pragma once
 
 #include "core/base/names.hpp"
@@ -10,8 +11,9 @@
 namespace cyclamenhold
 {
 
-// The value of the Cyclamen-Outcome header. `not_run` is said only when no
-// byte of the request can have reached an upstream.
+// The value of the Cyclamen-Outcome header. `not_run` is sent only if no byte
+// of the request can have reached an upstream, or if the upstream reports that
+// it has not run the request.
 enum class outcome : std::uint8_t
 {
     ran,
@@ -28,7 +30,7 @@
          {outcome::unknown, "unknown"}}};
 };
 
-// How important a route is; a lower value is more important and is shed later.
+// The importance of a route; a lower value is more important and is shed later.
 enum class priority_class : std::uint8_t
 {
     critical,
@@ -149,15 +151,16 @@
     return 500;
 }
 
-// The statuses by which a refusal promises that the request has not run and
-// will not run.
+// Whether a refusal with this status guarantees that the request has not run
+// and will not run.
 [[nodiscard]] constexpr bool is_not_run_status(unsigned status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-// The status for a refusal of a request with this outcome: a promise is made
-// only for one that has not run, and then also where its time was up.
+// The status for a refusal of a request with this outcome. For a request that
+// has not run, 503 replaces 504 and 502, which leave open whether it ran. For
+// any other, 502 replaces a status that guarantees that it has not run.
 [[nodiscard]] constexpr unsigned http_status_of(refusal reason, outcome result)
 {
     const unsigned status = http_status_of(reason);
--- a/src/core/base/random.hpp
+++ b/src/core/base/random.hpp
@@ -1,4 +1,4 @@
-// The random source that is handed to every decision that needs one.
+// The random source, passed to every function that makes a random decision.
 #pragma once
 
 #include <cstdint>
@@ -7,11 +7,11 @@
 namespace cyclamenhold
 {
 
-// One engine a thread, or one a node in tests; the same seed gives the same
+// One engine per thread, or per node in tests. The same seed gives the same
 // decisions.
 using random_source = std::mt19937_64;
 
-// A uniform number below `bound`, which must be positive.
+// A uniform integer in [0, bound); `bound` must be positive.
 [[nodiscard]] inline std::uint64_t
 random_below(random_source& random, std::uint64_t bound)
 {
--- a/src/core/base/request_context.hpp
+++ b/src/core/base/request_context.hpp
@@ -1,4 +1,5 @@
-// What travels with a request and with each of its child calls.
+// The context of a request, sent with the request and with each of its child
+// calls.
 #pragma once
 
 #include "core/base/ids.hpp"
@@ -11,12 +12,13 @@
 namespace cyclamenhold
 {
 
-// The number of admission slots a priority class is divided into. The slot is
-// drawn once for a root request, so that all hops decide alike.
+// The number of admission slots in a priority class. The slot of a request is
+// drawn once, at its root, so that all hops make the same admission decision.
 constexpr std::uint16_t admission_slot_count = 128;
 
-// The lowest admission an overloaded upstream still accepts. A request passes
-// when its class is more important, or the same and its slot is below `slots`.
+// The admission threshold of an overloaded upstream. A request passes if its
+// class is more important than `lowest_class`, or the same with a slot below
+// `slots`.
 struct admission_level
 {
     priority_class lowest_class = priority_class::low;
@@ -37,11 +39,11 @@
 // A granted claim: the right to run one never-repeat request once.
 struct claim_grant
 {
-    // Zero for a request that needs no claim.
+    // The epoch of the steward that granted the claim; zero for a request that
+    // needs none.
     std::uint64_t steward_epoch = 0;
     std::uint64_t claim_id = 0;
-    // The claim may be used until then, on the clock of the node that holds
-    // this context.
+    // The end of the claim's validity, on the local monotonic clock.
     time_point valid_until{};
 };
 
@@ -53,19 +55,21 @@
     priority_class priority = priority_class::normal;
     // In [0, admission_slot_count).
     std::uint16_t slot = 0;
-    // Zero for the root request.
+    // The number of calls above this one; zero for the root request.
     std::uint8_t depth = 0;
     // The request must not reach an upstream twice.
     bool never_repeat = false;
-    // Attempts beyond the first that this call and all below it may still
-    // make, together.
+    // The number of retries left to this call and all of its child calls
+    // together.
     std::uint16_t retry_allowance = 0;
-    // Absolute on the local clock; it travels as the time that remains.
+    // On the local monotonic clock. Frames carry the remaining time instead,
+    // since the clocks of hosts are not comparable.
     time_point deadline{};
-    // Equal for a request and its re-sends: method, path, key and body
-    // prefix. Names suspects when upstreams die.
+    // A hash of workspace, method, target and idempotency key, the same for a
+    // request and its retries. Identifies requests that may have crashed an
+    // upstream.
     std::uint64_t digest = 0;
-    // Given by the caller; empty without one.
+    // From the caller; empty if it sent none.
     std::string idempotency_key;
     claim_grant claim;
 };
--- a/src/core/base/snapshot_cell.hpp
+++ b/src/core/base/snapshot_cell.hpp
@@ -1,4 +1,4 @@
-// Read-copy-update: one writer publishes immutable snapshots, any number of
+// Read-copy-update: one writer publishes immutable snapshots, and any number of
 // threads read the newest one without locks.
 #pragma once
 
@@ -14,14 +14,15 @@
 namespace cyclamenhold
 {
 
-// Holds the newest snapshot of T. `publish` and the destructor belong to one
-// thread; `read` may be called from any.
+// Holds the newest snapshot of T. Only one thread may call `publish` and the
+// destructor; any thread may call `read`.
 template <class T>
 class snapshot_cell
 {
 public:
-    // Keeps one snapshot alive. Short-lived: a publisher waits for all readers
-    // that began before it, so none may be held across a suspension point.
+    // Protects one snapshot from deletion. `publish` waits for all readers that
+    // exist when it is called, so a reader must be short-lived and must not be
+    // held across a suspension point of a coroutine.
     class reader
     {
     public:
@@ -65,8 +66,8 @@
         return reader(*this);
     }
 
-    // Makes `next` the newest snapshot and frees the one before, once no
-    // reader is left that could see it.
+    // Makes `next` the newest snapshot, waits until no reader can refer to the
+    // previous one, and deletes that.
     void publish(std::unique_ptr<const T> next)
     {
         const T* const previous =
--- a/src/core/base/time.hpp
+++ b/src/core/base/time.hpp
@@ -1,4 +1,4 @@
-// Time as the decisions see it: always passed in, never read from a clock.
+// Time types. Decisions take the time as an argument and never read a clock.
 #pragma once
 
 #include <chrono>
@@ -14,13 +14,13 @@
 
 using namespace std::chrono_literals;
 
-// Seconds as a floating-point number, for rates.
+// The duration in seconds.
 [[nodiscard]] inline double to_seconds(duration value)
 {
     return std::chrono::duration<double>(value).count();
 }
 
-// Rounds a number of seconds to the clock's resolution.
+// Truncates a number of seconds to the clock's resolution.
 [[nodiscard]] inline duration from_seconds(double seconds)
 {
     return std::chrono::duration_cast<duration>(
--- a/src/core/events/event_json.cpp
+++ b/src/core/events/event_json.cpp
@@ -18,14 +18,15 @@
     return to_string(static_cast<hybrid_time>(value));
 }
 
-// The text of a member, or nullptr.
+// The member if it is a string, otherwise nullptr.
 const json::string* find_text(const json::object& object, const char* name)
 {
     const json::value* const value = object.if_contains(name);
     return value == nullptr ? nullptr : value->if_string();
 }
 
-// Reads one member with `parse`; a missing one is left alone.
+// Parses one member with `parse`. A missing member leaves `value` unchanged;
+// one that is no string or cannot be parsed is a finding.
 template <class Value, class Parse>
 void read_member(
     const json::object& object, const char* name, Value& value, Parse parse,
@@ -85,6 +86,7 @@
     return record;
 }
 
+// The value of a hexadecimal digit, or -1.
 int hexadecimal_digit(char digit)
 {
     constexpr std::string_view digits = "0123456789abcdef";
@@ -93,7 +95,7 @@
     return position == std::string_view::npos ? -1 : static_cast<int>(position);
 }
 
-// Undoes percent-encoding; nullopt when it is malformed.
+// Decodes percent-encoding; nullopt if it is malformed.
 std::optional<std::string> decode_percent(std::string_view text)
 {
     std::string decoded;
@@ -154,13 +156,13 @@
     return limit;
 }
 
-// Takes one "name=value" of the query.
+// Parses one "name=value" of the query. `value` is already decoded.
 void read_parameter(
     std::string_view name, const std::string& value, event_query& query,
     findings& found)
 {
     const std::string place(name);
-    const auto take = [&](auto& member, const auto& parsed)
+    const auto assign = [&](auto& member, const auto& parsed)
     {
         if (!parsed)
         {
@@ -171,15 +173,15 @@
     };
     if (name == "since_hlc")
     {
-        take(query.since, parse_hybrid_time(value));
+        assign(query.since, parse_hybrid_time(value));
     }
     else if (name == "until_hlc")
     {
-        take(query.until, parse_hybrid_time(value));
+        assign(query.until, parse_hybrid_time(value));
     }
     else if (name == "trace")
     {
-        take(query.trace, parse_trace_id(value));
+        assign(query.trace, parse_trace_id(value));
     }
     else if (name == "workspace")
     {
@@ -187,7 +189,7 @@
     }
     else if (name == "limit")
     {
-        take(query.limit, parse_limit(value));
+        assign(query.limit, parse_limit(value));
     }
     else
     {
--- a/src/core/events/event_json.hpp
+++ b/src/core/events/event_json.hpp
@@ -1,5 +1,5 @@
-// Events as JSON: the operators' API of a node writes it, cyclamen-trace reads
-// it.
+// Events as JSON, written by the operators' API of a node and read by
+// cyclamen-trace.
 #pragma once
 
 #include "core/base/findings.hpp"
@@ -17,14 +17,15 @@
 
 [[nodiscard]] boost::json::object to_json(const event_record& record);
 
-// What GET /v1/events answers.
+// The reply to GET /v1/events.
 struct event_page
 {
     host_id host = host_id::none;
     std::string name;
-    // Events of this host that the ring no longer holds.
+    // The number of events that were overwritten in the host's ring.
     std::uint64_t overwritten = 0;
-    // Ask again with `since` = the last record's time.
+    // More events match; the next page starts at `since` = the time of the
+    // last record.
     bool truncated = false;
     std::vector<event_record> records;
 };
@@ -37,7 +38,7 @@
     findings found;
 };
 
-// The page is meaningful only without findings.
+// Parses a page. The page is valid only if there are no findings.
 [[nodiscard]] event_page_result read_event_page(std::string_view text);
 
 struct event_query_result
@@ -46,12 +47,12 @@
     findings found;
 };
 
-// Reads the query part of "/v1/events?since_hlc=..&until_hlc=..&trace=..
-// &workspace=NAME&limit=..". Unknown parameters are findings.
+// Parses the query of "/v1/events?since_hlc=..&until_hlc=..&trace=..
+// &workspace=NAME&limit=..". An unknown parameter is a finding.
 [[nodiscard]] event_query_result read_event_query(std::string_view target);
 
-// The target of the request that asks for `query`; `workspace_name` stands for
-// the query's workspace.
+// The request target for `query`. `workspace_name` is the name of the query's
+// workspace, which `query` holds only as a hash.
 [[nodiscard]] std::string
 write_event_query(const event_query& query, std::string_view workspace_name);
 
--- a/src/core/events/event_ring.hpp
+++ b/src/core/events/event_ring.hpp
@@ -1,4 +1,4 @@
-// The newest events of one host, in a bounded ring.
+// A ring buffer of the newest events of one host.
 #pragma once
 
 #include "core/events/hybrid_clock.hpp"
@@ -20,12 +20,12 @@
     event what;
 };
 
-// Which events are wanted; an empty member admits all.
+// A filter for events; an empty member matches all.
 struct event_query
 {
-    // Later than this.
+    // Exclusive.
     std::optional<hybrid_time> since;
-    // Not later than this.
+    // Inclusive.
     std::optional<hybrid_time> until;
     std::optional<trace_id> trace;
     std::optional<workspace_id> workspace;
@@ -38,28 +38,29 @@
 struct event_ring
 {
     std::size_t capacity = 0;
-    // Grows up to `capacity`; then `oldest` is the next to be overwritten.
+    // Grows up to `capacity`; from then on `oldest` is the index of the next
+    // record to be overwritten.
     std::vector<event_record> records;
     std::size_t oldest = 0;
     std::uint64_t overwritten = 0;
     hybrid_time newest = hybrid_time::none;
 };
 
-// Keeps the record, which is no earlier than the one before; the oldest one
-// gives way when the ring is full. A ring of capacity 0 keeps nothing and
-// counts all as overwritten.
+// Appends `record`, whose time must not be before that of the newest record. A
+// full ring overwrites its oldest record. A ring of capacity 0 stores nothing
+// and counts every record as overwritten.
 void add_event(event_ring& ring, event_record record);
 
-// Events that were asked for, oldest first.
+// The events that match a query, oldest first.
 struct event_selection
 {
     std::vector<event_record> records;
-    // More would have matched but for the limit.
+    // The limit was reached before the last matching event.
     bool truncated = false;
 };
 
-// The oldest matching events, up to the limit, so that a reader goes on with
-// `since` set to the time of the last one.
+// The oldest matching events, up to the limit. A reader continues with `since`
+// set to the time of the last one.
 [[nodiscard]] event_selection
 select_events(const event_ring& ring, const event_query& query);
 
--- a/src/core/events/time_line.cpp
+++ b/src/core/events/time_line.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-// The clock of a host never shows the same time twice, so that time and host
-// name a record.
+// Identifies a record: the hybrid clock of a host never returns the same time
+// twice.
 auto position_of(const event_record& record)
 {
     return std::tuple(record.time, record.host);
--- a/src/core/events/time_line.hpp
+++ b/src/core/events/time_line.hpp
@@ -8,8 +8,8 @@
 namespace cyclamenhold
 {
 
-// All records that match, ordered by hybrid time, then host. A record that is
-// in several inputs appears once. The query's limit does not apply.
+// All matching records, ordered by hybrid time, then host. A record that is in
+// several inputs appears once. The query's limit is ignored.
 [[nodiscard]] std::vector<event_record> merge_time_line(
     std::vector<std::vector<event_record>> inputs, const event_query& query);
 
--- a/src/core/node/control.hpp
+++ b/src/core/node/control.hpp
@@ -1,5 +1,5 @@
-// The control side of one node: membership, configuration, rates and claims,
-// driven by the same events in the real process and in tests.
+// The control side of one node: membership, configuration, rates, claims and
+// quarantine. The node process and the tests pass it the same events.
 #pragma once
 
 #include "core/claims/claims.hpp"
@@ -18,18 +18,19 @@
 {
     membership_settings membership;
     chain_settings chain;
-    // Takes the chain's place where operators write whole documents.
+    // Used instead of the chain if operators write whole documents to the
+    // store.
     document_settings document;
     rates_settings rates;
     claims_settings claims;
 };
 
-// One node's control state. The rate_limiter is shared with the request path;
-// everything else belongs to the control thread.
+// The control state of one node. The rate_limiter is shared with the request
+// path; only the control thread accesses the rest.
 struct control_state
 {
     membership_state membership;
-    // Also holds the configuration in force, wherever it came from.
+    // Also holds the configuration in force if that came from a document.
     chain_state chain;
     document_state document;
     rates_state rates;
@@ -39,7 +40,8 @@
     std::uint64_t wall_clock_ms = 0;
 };
 
-// `wall_clock_ms` becomes the incarnation; `limiter` outlives the state.
+// Starts all subsystems. `wall_clock_ms` (since the Unix epoch) becomes the
+// node's incarnation; `limiter` must outlive `state`.
 void control_start(
     control_state& state, const control_settings& settings,
     rate_limiter& limiter, std::uint64_t wall_clock_ms, time_point now,
@@ -54,10 +56,11 @@
     control_state& state, const platform_reply& reply, time_point now,
     random_source& random, control_actions& actions);
 
-// When control_tick is due next.
+// The time at which control_tick must run next.
 [[nodiscard]] time_point control_due(const control_state& state);
 
-// Announces the stop and hands back what this node holds for others.
+// Releases the loans and weight leases that this node holds, and announces to
+// the other members that it stops.
 void control_leave(
     control_state& state, time_point now, random_source& random,
     control_actions& actions);
