--- a/src/ports/control_actions.hpp
+++ b/src/ports/control_actions.hpp
@@ -1,5 +1,5 @@
-// What the control subsystems ask the world to do. Each function of such a
-// subsystem appends to this; the adapters, or a test's fake, carry it out.
+// The side effects that control subsystems request. The functions of a
+// subsystem append to them; the adapters, or a fake in tests, carry them out.
 #pragma once
 
 #include "ports/events.hpp"
--- a/src/ports/events.hpp
+++ b/src/ports/events.hpp
@@ -1,4 +1,4 @@
-// Events: what a node records about its decisions, for the time line.
+// Events: records of a node's decisions, for the time line.
 #pragma once
 
 #include "core/base/ids.hpp"
@@ -95,19 +95,19 @@
              {event_kind::platform_available, "platform-available"}}};
 };
 
-// An event before the node stamps it with its clock and its own id.
+// An event before the node adds its time and its host_id.
 struct event
 {
     event_kind kind = event_kind::node_started;
     trace_id trace;
     workspace_id workspace = workspace_id::none;
-    // The other host, where there is one.
+    // The other host, if the event involves one.
     host_id peer = host_id::none;
-    // Short free text in English; never holds a key or a body.
+    // Short free text in English. Must not contain a key or a body.
     std::string detail;
-    // The caller's own id of the request; empty where it is not at hand.
+    // The caller's own id of the request; empty if it is not available.
     std::string request_id = {};
-    // Went as it should; of interest to the time line only.
+    // Normal operation: recorded for the time line, but not logged.
     bool is_routine = false;
 };
 
--- a/src/ports/messages.hpp
+++ b/src/ports/messages.hpp
@@ -1,5 +1,5 @@
-// Messages between nodes, as the decisions see them: bytes of a FlatBuffers
-// table and the kind that says which.
+// Messages between nodes: the bytes of a FlatBuffers table and the kind that
+// selects its schema.
 #pragma once
 
 #include "core/base/ids.hpp"
@@ -14,8 +14,8 @@
 namespace cyclamenhold
 {
 
-// Which subsystem a control message belongs to. Each has one schema in
-// src/wire/schema whose root is a union of its messages.
+// The subsystem of a control message. Each subsystem has one schema in
+// src/wire/schema, whose root table holds a union of its messages.
 enum class message_kind : std::uint8_t
 {
     membership = 1,
@@ -37,9 +37,9 @@
              {message_kind::quarantine, "quarantine"}}};
 };
 
-// Datagrams may be lost, duplicated and reordered and hold at most
-// `max_datagram_payload` bytes. A stream message arrives at most once and in
-// order, or its link is lost.
+// Datagrams can be lost, duplicated and reordered, and hold at most
+// `max_datagram_payload` bytes. Stream messages arrive at most once and in
+// order; when one is lost, its link is lost too.
 enum class transport : std::uint8_t
 {
     datagram,
@@ -58,7 +58,7 @@
 
 struct incoming_message
 {
-    // Authenticated by the link that carried the message.
+    // Authenticated by the link on which the message arrived.
     host_id from = host_id::none;
     message_kind kind = message_kind::membership;
     std::span<const std::uint8_t> payload;
--- a/src/ports/platform.hpp
+++ b/src/ports/platform.hpp
@@ -1,6 +1,6 @@
-// The platform's key-value service, as the decisions see it: calls appended to
-// the actions, and replies that come back as events. Any reply may be lost,
-// also after the write took effect.
+// The platform's key-value store: subsystems append calls to control_actions
+// and get the replies as events. Any reply can be lost, also after the write
+// took effect.
 #pragma once
 
 #include "core/base/names.hpp"
@@ -20,18 +20,19 @@
 enum class platform_operation : std::uint8_t
 {
     get,
-    // All keys that start with `key`, in order, from the one behind `after`.
+    // Lists the keys that start with `key` and follow `after`, in order.
     list,
-    // Writes `value` when the key's version equals `expected_version`;
-    // version 0 means "absent". `lease` ties the key to a lease.
+    // Writes `value` if the key's version equals `expected_version`; version 0
+    // means "absent". If `lease` is not 0, the key is deleted when that lease
+    // expires.
     compare_and_swap,
-    // Deletes the key when its version equals `expected_version`.
+    // Deletes the key if its version equals `expected_version`.
     compare_and_delete,
     lease_grant,
     lease_renew,
     lease_revoke,
-    // Answers when any key that starts with `key` has a version above
-    // `expected_version`, or after `wait` with nothing.
+    // Replies once any key that starts with `key` has a version above
+    // `expected_version`, or without entries after `wait`.
     watch
 };
 
@@ -51,7 +52,7 @@
              {platform_operation::watch, "watch"}}};
 };
 
-// Which subsystem made the call and gets the reply.
+// The subsystem that made the call and gets the reply.
 enum class platform_client : std::uint8_t
 {
     membership,
@@ -63,19 +64,19 @@
 struct platform_call
 {
     platform_client client = platform_client::membership;
-    // Unique within the client, chosen by it, echoed in the reply.
+    // Set by the client, unique within it, and repeated in the reply.
     std::uint64_t call_id = 0;
     platform_operation operation = platform_operation::get;
     std::string key;
     std::string value;
-    // Of a list: the last key of the page before.
+    // For a list: the last key of the previous page.
     std::string after;
     std::uint64_t expected_version = 0;
     std::uint64_t lease = 0;
     duration lease_time{};
     duration wait{};
     std::uint32_t limit = 100;
-    // The adapter reports `unavailable` when no answer came by then.
+    // Without a reply after this time, the adapter reports `unavailable`.
     duration timeout = 2s;
 };
 
@@ -83,12 +84,13 @@
 {
     ok,
     not_found,
-    // The version differed; the reply holds the present entry.
+    // The version differed; the reply holds the current entry.
     conflict,
     lease_expired,
-    // A watch asked for changes that the platform no longer remembers.
+    // A watch requested changes older than the platform's history.
     history_lost,
-    // Down, slow or cut off. A write may or may not have taken effect.
+    // The platform is down, slow or unreachable. A write may or may not have
+    // taken effect.
     unavailable,
     rejected
 };
@@ -111,9 +113,10 @@
 {
     std::string key;
     std::string value;
-    // The platform's revision that wrote it; grows with every write anywhere.
+    // The platform's revision at the last write of this key. The revision grows
+    // with every write to any key.
     std::uint64_t version = 0;
-    // Of a watch: the key was deleted; there is no value.
+    // For a watch: the key was deleted and has no value.
     bool removed = false;
 };
 
@@ -122,16 +125,16 @@
     platform_client client = platform_client::membership;
     std::uint64_t call_id = 0;
     platform_status status = platform_status::ok;
-    // One entry for get and compare-and-swap, any number for list and watch.
+    // One entry for get and compare_and_swap, any number for list and watch.
     std::vector<platform_entry> entries;
-    // The platform's revision when it answered.
+    // The platform's revision at the time of the reply.
     std::uint64_t revision = 0;
     std::uint64_t lease = 0;
-    // Of a list: there are more keys behind the last one.
+    // For a list: more keys follow the last one.
     bool has_more = false;
 };
 
-// One call as it goes over HTTP.
+// One call as an HTTP request.
 struct platform_request
 {
     std::string method;
@@ -145,8 +148,8 @@
     std::string body;
 };
 
-// How the platform spells its calls. The client and the stand-in speak the
-// same protocol from its two ends.
+// The encoding of the platform's calls over HTTP. The client encodes calls and
+// decodes replies; the stand-in does the reverse.
 struct platform_codec
 {
     platform_request (*encode_call)(const platform_call&) = nullptr;
