--- a/src/wire/frame_codec.cpp
+++ b/src/wire/frame_codec.cpp
@@ -9,7 +9,7 @@
 
 using builder = flatbuffers::FlatBufferBuilder;
 
-// Finishes the frame and appends it behind its length.
+// Finishes the frame and appends its length and its bytes to `out`.
 template <class Body>
 void append_frame(
     std::vector<std::uint8_t>& out, builder& fbb, wire::frame_body type,
@@ -82,7 +82,7 @@
     return static_cast<std::uint64_t>(std::max<std::int64_t>(0, left.count()));
 }
 
-// Far futures are cut to a day, so that no sum overflows.
+// Clamps `remaining` to a day, so that the sum cannot overflow.
 time_point after_us(std::uint64_t remaining, time_point now)
 {
     constexpr std::uint64_t day_us = 86'400'000'000ULL;
@@ -104,8 +104,10 @@
 {
     const auto value =
         std::chrono::duration_cast<std::chrono::microseconds>(latency).count();
-    constexpr std::int64_t most = std::numeric_limits<std::uint32_t>::max();
-    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(value, 0, most));
+    constexpr std::int64_t max_latency_us =
+        std::numeric_limits<std::uint32_t>::max();
+    return static_cast<std::uint32_t>(
+        std::clamp<std::int64_t>(value, 0, max_latency_us));
 }
 
 priority_class unpack_priority(std::uint8_t value)
@@ -121,7 +123,7 @@
 
 bool has_required_fields(const wire::frame& frame)
 {
-    // A valid buffer may name a body and leave it out.
+    // The verifier accepts a body type without a body.
     if (frame.body() == nullptr)
     {
         return false;
--- a/src/wire/frame_codec.hpp
+++ b/src/wire/frame_codec.hpp
@@ -1,4 +1,5 @@
-// Frames between nodes: a little-endian 32-bit length and a FlatBuffers table.
+// Frames between nodes: a 32-bit little-endian length, then a FlatBuffers
+// table.
 #pragma once
 
 #include "core/base/request_context.hpp"
@@ -17,7 +18,7 @@
 namespace cyclamenhold
 {
 
-// Larger frames are a protocol error; the link is closed.
+// A larger frame is a protocol error, upon which the link is closed.
 constexpr std::uint32_t max_frame_bytes = 4 * 1024 * 1024;
 constexpr std::size_t frame_prefix_bytes = 4;
 constexpr std::uint16_t peer_protocol_version = 1;
@@ -30,7 +31,8 @@
 
 using header_fields = std::vector<header_field>;
 
-// The head of a request as it travels to the upstream's node.
+// The head of a request, as sent to the upstream's node. `body_size` is in
+// bytes and empty if it is not known in advance.
 struct request_head
 {
     std::string method;
@@ -46,22 +48,22 @@
     std::optional<std::uint64_t> body_size;
 };
 
-// Why a stream ended without a whole reply.
+// The reason why a stream ended without a complete reply.
 struct stream_failure
 {
     refusal reason = refusal::upstream_failed;
     outcome result = outcome::unknown;
 };
 
-// Each function appends one whole frame with its length prefix to `out`.
+// Each encode function appends one frame with its length prefix to `out`.
 void encode_hello(
     std::vector<std::uint8_t>& out, host_id self, incarnation self_incarnation,
     std::span<const std::uint8_t> nonce);
 void encode_proof(
     std::vector<std::uint8_t>& out, std::span<const std::uint8_t> mac);
-// Frames that open a stream or begin its reply carry the sender's clock, so
-// that events on both sides are ordered. The stream's deadline and claim term
-// travel as what remains at `now`.
+// Frames that open a stream or begin its reply carry the sender's hybrid clock,
+// which orders the events of both nodes. The deadline and the end of the claim
+// are encoded as the time that remains at `now`.
 void encode_open_stream(
     std::vector<std::uint8_t>& out, std::uint64_t stream,
     const request_context& context, const request_head& head,
@@ -90,14 +92,16 @@
     std::span<const std::uint8_t> payload);
 void encode_going_away(std::vector<std::uint8_t>& out);
 
-// The length that a prefix of frame_prefix_bytes bytes announces.
+// The frame length in a prefix of frame_prefix_bytes bytes.
 [[nodiscard]] std::uint32_t frame_length(std::span<const std::uint8_t> prefix);
 
-// The verified table in `payload` (without the prefix), or nullptr. Required
-// nested parts of every body are present in what is returned.
+// Verifies `payload` (without the prefix) and returns its table, or nullptr if
+// it is malformed. Required fields of the body are never null in the result.
 [[nodiscard]] const wire::frame*
 decode_frame(std::span<const std::uint8_t> payload);
 
+// Remaining times in the frame become points on the local clock; values out of
+// range are clamped.
 [[nodiscard]] request_context
 context_of(const wire::open_stream& open, time_point now);
 [[nodiscard]] request_head head_of(const wire::open_stream& open);
