--- a/tests/core/events_test.cpp
+++ b/tests/core/events_test.cpp
@@ -25,42 +25,45 @@
     return {make_hybrid_time(wall_ms), host, what};
 }
 
-TEST(hybrid_clock, follows_causes)
+TEST(hybrid_clock, effects_are_later_than_causes)
 {
     const hybrid_time sent = next_hybrid_time(hybrid_time::none, 1000);
     {
-        SCOPED_TRACE("it stays at the wall clock where that moves on");
+        SCOPED_TRACE("follows a wall clock that advances");
         EXPECT_EQ(sent, make_hybrid_time(1000));
         EXPECT_EQ(next_hybrid_time(sent, 2000), make_hybrid_time(2000));
     }
     {
-        SCOPED_TRACE("it counts on where the wall clock stands or goes back");
+        SCOPED_TRACE(
+            "counts up while the wall clock stands still or goes back");
         EXPECT_EQ(next_hybrid_time(sent, 1000), make_hybrid_time(1000, 1));
         EXPECT_EQ(next_hybrid_time(sent, 900), make_hybrid_time(1000, 1));
     }
     {
-        SCOPED_TRACE("a receiver whose clock is behind is later than the send");
+        SCOPED_TRACE(
+            "a receive time is later than the send time of a host ahead");
         const hybrid_time received =
             receive_hybrid_time(make_hybrid_time(700), sent, 800);
         EXPECT_GT(received, sent);
         EXPECT_EQ(wall_ms_of(received), 1000U);
     }
     {
-        SCOPED_TRACE("a clock that is far ahead is not followed");
+        SCOPED_TRACE("ignores a remote clock more than 60 s ahead");
         EXPECT_EQ(
             receive_hybrid_time(
                 sent, make_hybrid_time(1001 + max_clock_lead_ms), 1000),
             make_hybrid_time(1000, 1));
     }
     {
-        SCOPED_TRACE("a full counter carries into the milliseconds");
+        SCOPED_TRACE(
+            "an overflow of the counter carries into the milliseconds");
         EXPECT_EQ(
             next_hybrid_time(make_hybrid_time(1000, 0xffff), 1000),
             make_hybrid_time(1001));
     }
 }
 
-TEST(hybrid_clock, text)
+TEST(hybrid_clock, text_round_trip)
 {
     const hybrid_time time = make_hybrid_time(1'700'000'000'123, 5);
     EXPECT_EQ(parse_hybrid_time(to_string(time)), time);
@@ -92,7 +95,8 @@
         add_event(ring, record_at(time, first_host));
     }
     {
-        SCOPED_TRACE("the newest stay, the overwritten are counted");
+        SCOPED_TRACE(
+            "keeps the newest records and counts the overwritten ones");
         const auto [records, truncated] = select_events(ring, {});
         ASSERT_EQ(records.size(), 3U);
         EXPECT_EQ(records.front().time, make_hybrid_time(3));
@@ -101,7 +105,7 @@
         EXPECT_FALSE(truncated);
     }
     {
-        SCOPED_TRACE("a reader goes on where the limit stopped it");
+        SCOPED_TRACE("a reader continues after the last record of a page");
         event_query query;
         query.limit = 2;
         const auto first = select_events(ring, query);
@@ -112,7 +116,7 @@
         EXPECT_FALSE(rest.truncated);
     }
     {
-        SCOPED_TRACE("a ring of no capacity keeps nothing");
+        SCOPED_TRACE("a ring of capacity 0 stores nothing");
         event_ring none;
         add_event(none, record_at(1, first_host));
         EXPECT_TRUE(none.records.empty());
@@ -129,7 +133,7 @@
          record_at(4, second_host)},
         {record_at(4, first_host)}};
     {
-        SCOPED_TRACE("orders by time, then host, and drops repetitions");
+        SCOPED_TRACE("orders by time, then host, and removes duplicates");
         const auto line = merge_time_line(inputs, {});
         std::vector<std::uint64_t> times;
         times.reserve(line.size());
@@ -156,7 +160,7 @@
     }
 }
 
-TEST(event_json, a_page)
+TEST(event_json, page)
 {
     event_page page;
     page.host = first_host;
@@ -166,7 +170,7 @@
     page.records = {record_at(1'700'000'000'000, first_host)};
     page.records[0].what.peer = second_host;
     {
-        SCOPED_TRACE("reads back as it was written");
+        SCOPED_TRACE("parsing returns what was written");
         const auto [read, found] = read_event_page(write_event_page(page));
         ASSERT_TRUE(found.empty()) << to_string(found);
         EXPECT_EQ(read.name, "brno-1");
@@ -177,7 +181,7 @@
         EXPECT_EQ(read.records[0].what.peer, second_host);
     }
     {
-        SCOPED_TRACE("malformed ones are findings");
+        SCOPED_TRACE("a malformed page has findings");
         for (const char* text :
              {"", "[]", "{}", R"({"events":[1]})",
               R"({"events":[{"hlc":"x","host":"y","kind":"z"}]})",
@@ -189,7 +193,7 @@
     }
 }
 
-TEST(event_json, a_query)
+TEST(event_json, query)
 {
     event_query query;
     query.since = make_hybrid_time(5);
@@ -198,7 +202,7 @@
     query.workspace = workspace_id_of("Škola a&b");
     query.limit = 50;
     {
-        SCOPED_TRACE("reads back as it was written");
+        SCOPED_TRACE("parsing returns what was written");
         const auto [read, found] =
             read_event_query(write_event_query(query, "Škola a&b"));
         ASSERT_TRUE(found.empty()) << to_string(found);
@@ -209,12 +213,12 @@
         EXPECT_EQ(read.limit, 50U);
     }
     {
-        SCOPED_TRACE("nothing asked gives the defaults");
+        SCOPED_TRACE("a target without parameters gives the default query");
         EXPECT_TRUE(read_event_query("/v1/events").found.empty());
         EXPECT_TRUE(read_event_query("/v1/events?").found.empty());
     }
     {
-        SCOPED_TRACE("all mistakes are reported together");
+        SCOPED_TRACE("reports all findings together");
         const auto [read, found] = read_event_query(
             "/v1/events?limit=0&trace=1&colour=red&workspace=%4&since_hlc");
         EXPECT_EQ(found.size(), 5U);
--- a/tests/core/frame_codec_test.cpp
+++ b/tests/core/frame_codec_test.cpp
@@ -7,7 +7,8 @@
 namespace
 {
 
-// A frame that names a body and carries none, as a faulty peer may send it.
+// A frame with a body type but no body. The FlatBuffers verifier accepts it, so
+// a faulty peer could make the decoder dereference a null body.
 std::vector<std::uint8_t> frame_without_body(wire::frame_body type)
 {
     flatbuffers::FlatBufferBuilder builder;
@@ -19,7 +20,7 @@
         builder.GetBufferPointer() + builder.GetSize()};
 }
 
-TEST(frame_codec, a_type_without_its_body_is_malformed)
+TEST(frame_codec, body_type_without_body_is_malformed)
 {
     for (const wire::frame_body type : wire::EnumValuesframe_body())
     {
--- a/tests/core/ids_test.cpp
+++ b/tests/core/ids_test.cpp
@@ -10,14 +10,14 @@
 TEST(ids, host_ids)
 {
     {
-        SCOPED_TRACE("an address and a port make an id that reads back");
+        SCOPED_TRACE("an address and a port are parsed and written back");
         const auto id = parse_host_id("10.1.2.3:7400");
         ASSERT_TRUE(id.has_value());
         EXPECT_EQ(to_string(*id), "10.1.2.3:7400");
         EXPECT_EQ(*id, make_host_id(0x0a010203, 7400));
     }
     {
-        SCOPED_TRACE("anything else is refused");
+        SCOPED_TRACE("any other text is rejected");
         for (const char* text :
              {"", "10.1.2.3", "10.1.2:1", "10.1.2.256:1", "10.1.2.3:0",
               "10.1.2.3:70000", "10.1.2.3.4:1", "host:1"})
--- a/tests/platform/operator_document_test.cpp
+++ b/tests/platform/operator_document_test.cpp
@@ -31,7 +31,7 @@
  "maxBodyBytes":67108864,"headerTimeoutS":3,"idleTimeoutS":15}},
 {"type":"something new","metadata":{"name":"x"},"spec":{}}]})";
 
-TEST(operator_document, is_read_as_a_whole)
+TEST(operator_document, valid_document)
 {
     const auto read = read_document(whole_document, secret);
     ASSERT_TRUE(read.ok()) << read.status();
@@ -50,28 +50,28 @@
         EXPECT_EQ(status.priority, priority_class::low);
     }
     {
-        SCOPED_TRACE("an important one that runs at most once");
+        SCOPED_TRACE("an important route that runs at most once");
         const route& pay = read->routes[1];
         EXPECT_TRUE(pay.never_repeat);
         EXPECT_EQ(pay.retry_allowance, 0U);
         EXPECT_EQ(pay.priority, priority_class::high);
     }
     {
-        SCOPED_TRACE("an upload without a key, which stands for calls");
+        SCOPED_TRACE("an open upload route, which serves child calls");
         const route& map = read->routes[2];
         EXPECT_TRUE(map.never_repeat);
         EXPECT_TRUE(map.open);
         EXPECT_EQ(map.priority, priority_class::critical);
     }
     {
-        SCOPED_TRACE("workspaces, of which one has no rate");
+        SCOPED_TRACE("workspaces, one of them without a rate limit");
         ASSERT_EQ(read->workspaces.size(), 2U);
         EXPECT_EQ(read->workspaces[0].rate, 164.0);
         EXPECT_FALSE(read->workspaces[0].unlimited);
         EXPECT_TRUE(read->workspaces[1].unlimited);
     }
     {
-        SCOPED_TRACE("keys are known only by their digests");
+        SCOPED_TRACE("keys are stored only as digests");
         ASSERT_EQ(read->keys.size(), 2U);
         const auto tables = build_request_tables(*read);
         EXPECT_EQ(
@@ -83,7 +83,7 @@
     EXPECT_EQ(read->limits.idle_timeout, std::chrono::milliseconds(15'000));
 }
 
-TEST(operator_document, names_everything_that_is_wrong)
+TEST(operator_document, reports_all_findings)
 {
     const auto read = read_document(
         R"({"version":"zz","resources":[
@@ -101,7 +101,7 @@
     }
 }
 
-TEST(operator_document, a_cut_text_is_refused)
+TEST(operator_document, truncated_document_is_rejected)
 {
     for (const std::size_t size : {0, 1, 40, 400})
     {
@@ -110,7 +110,7 @@
     }
 }
 
-TEST(operator_document, a_host_decides_before_the_prefix)
+TEST(operator_document, host_takes_precedence_over_prefix)
 {
     const auto read = read_document(whole_document, secret);
     ASSERT_TRUE(read.ok());
@@ -122,7 +122,7 @@
     EXPECT_EQ(find_route(tables, "b.example", "GET", "/x/1"), nullptr);
     EXPECT_EQ(find_route(tables, "d.example", "GET", "/x/1"), nullptr);
     {
-        SCOPED_TRACE("a split is drawn by its weights");
+        SCOPED_TRACE("a split draws services by weight");
         random_source random(3);
         int first = 0;
         for (int i = 0; i < 10'000; ++i)
--- a/tests/platform/upstream_messages_test.cpp
+++ b/tests/platform/upstream_messages_test.cpp
@@ -28,7 +28,7 @@
         heartbeat(state, sequence, born));
 }
 
-TEST(upstream_messages, are_read)
+TEST(upstream_messages, parsing)
 {
     {
         SCOPED_TRACE("a heartbeat");
@@ -48,12 +48,12 @@
         SCOPED_TRACE("a departure, with or without a body");
         const auto message =
             parse_upstream_message("POST", "/instances/i-1/deregister", "");
-        const auto* const left = std::get_if<upstream_departure>(&message);
-        ASSERT_NE(left, nullptr);
-        EXPECT_EQ(left->id, "i-1");
+        const auto* const departure = std::get_if<upstream_departure>(&message);
+        ASSERT_NE(departure, nullptr);
+        EXPECT_EQ(departure->id, "i-1");
     }
     {
-        SCOPED_TRACE("other requests are none");
+        SCOPED_TRACE("any other request is no message");
         EXPECT_TRUE(std::holds_alternative<std::monostate>(
             parse_upstream_message("GET", "/instances/i-1/heartbeat", "")));
         EXPECT_TRUE(std::holds_alternative<std::monostate>(
@@ -63,7 +63,7 @@
     }
 }
 
-TEST(upstream_messages, what_cannot_be_read_names_no_upstream)
+TEST(upstream_messages, malformed_heartbeat_has_findings)
 {
     for (const char* body :
          {"", "[]", "{", R"({"address":5})",
@@ -82,7 +82,8 @@
     }
 }
 
-// What the monitor makes of a heartbeat.
+// Passes a heartbeat to the monitor. Returns the upstream's record if it
+// changed.
 std::optional<upstream_record>
 deliver(upstream_monitor& monitor, const upstream_message& message)
 {
@@ -94,13 +95,13 @@
 {
     upstream_monitor monitor;
     ASSERT_TRUE(deliver(monitor, heartbeat_message("i-1", "ready", 1)));
-    const std::uint64_t life = monitor.life;
+    const std::uint64_t first_incarnation = monitor.life;
     {
         SCOPED_TRACE("a repeated heartbeat changes nothing");
         EXPECT_FALSE(deliver(monitor, heartbeat_message("i-1", "ready", 2)));
     }
     {
-        SCOPED_TRACE("it drains, and an older heartbeat does not undo that");
+        SCOPED_TRACE("an older heartbeat does not undo the draining state");
         const auto drained =
             deliver(monitor, heartbeat_message("i-1", "draining", 4));
         ASSERT_TRUE(drained);
@@ -109,26 +110,27 @@
         EXPECT_EQ(monitor.record.state, upstream_state::draining);
     }
     {
-        SCOPED_TRACE("it leaves; a late heartbeat does not bring it back");
+        SCOPED_TRACE("a late heartbeat does not undo a departure");
         ASSERT_TRUE(on_leave(monitor, {"i-1", 1'000}));
         EXPECT_FALSE(deliver(monitor, heartbeat_message("i-1", "ready", 5)));
         EXPECT_EQ(monitor.record.state, upstream_state::absent);
     }
     {
-        SCOPED_TRACE("another process takes the address");
+        SCOPED_TRACE("another process reuses the address");
         ASSERT_TRUE(
             deliver(monitor, heartbeat_message("i-2", "ready", 1, 2'000)));
         EXPECT_EQ(monitor.record.state, upstream_state::serving);
-        EXPECT_GT(monitor.life, life);
+        EXPECT_GT(monitor.life, first_incarnation);
     }
     {
-        SCOPED_TRACE("the first one's last words are not about it");
+        SCOPED_TRACE(
+            "late messages of the first process do not affect the second");
         EXPECT_FALSE(on_leave(monitor, {"i-1", 1'000}));
         EXPECT_FALSE(deliver(monitor, heartbeat_message("i-1", "draining", 9)));
         EXPECT_EQ(monitor.record.state, upstream_state::serving);
     }
     {
-        SCOPED_TRACE("it starts again under its own id and counts anew");
+        SCOPED_TRACE("a restart under the same id resets the sequence");
         ASSERT_TRUE(
             deliver(monitor, heartbeat_message("i-2", "ready", 1, 3'000)));
         EXPECT_EQ(monitor.started_ms, 3'000U);
