--- a/src/wire/frame_codec.cpp
+++ b/src/wire/frame_codec.cpp
@@ -104,10 +104,8 @@
 {
     const auto value =
         std::chrono::duration_cast<std::chrono::microseconds>(latency).count();
-    constexpr std::int64_t max_latency_us =
-        std::numeric_limits<std::uint32_t>::max();
-    return static_cast<std::uint32_t>(
-        std::clamp<std::int64_t>(value, 0, max_latency_us));
+    constexpr std::int64_t max = std::numeric_limits<std::uint32_t>::max();
+    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(value, 0, max));
 }
 
 priority_class unpack_priority(std::uint8_t value)
