--- a/tests/core/entry_test.cpp
+++ b/tests/core/entry_test.cpp
@@ -139,8 +139,9 @@
     for (const auto& [reason, name] : enum_names<refusal>::table)
     {
         SCOPED_TRACE(std::string(name));
-        EXPECT_FALSE(is_promise(http_status_of(reason, outcome::unknown)));
-        EXPECT_FALSE(is_promise(http_status_of(reason, outcome::ran)));
+        EXPECT_FALSE(
+            is_not_run_status(http_status_of(reason, outcome::unknown)));
+        EXPECT_FALSE(is_not_run_status(http_status_of(reason, outcome::ran)));
     }
     EXPECT_EQ(
         http_status_of(refusal::deadline_exceeded, outcome::not_run), 503U);
