--- a/src/adapters/call_driver.cpp
+++ b/src/adapters/call_driver.cpp
@@ -23,8 +23,8 @@
     request_head head;
     // The caller's own id of the request.
     std::string request_id;
-    // More of the body than the prefix has gone to an upstream.
-    bool body_spent = false;
+    // More of the body than the prefix has disconnected to an upstream.
+    bool body_streamed = false;
     exchange_ptr work;
     reply_event first;
 };
@@ -62,7 +62,7 @@
 
 // Cancels the attempt under way when the caller's connection ends. A wait that
 // outlives its request completes with the next one's first byte.
-void watch_for_hang_up(const caller_ptr& caller)
+void watch_for_disconnect(const caller_ptr& caller)
 {
     if (caller->watching)
     {
@@ -83,7 +83,7 @@
             {
                 return;
             }
-            caller->gone = true;
+            caller->disconnected = true;
             if (const auto work = caller->current.lock())
             {
                 cancel(*work);
@@ -107,7 +107,8 @@
 }
 
 // Moves the rest of a long body from the caller to the attempt.
-asio::awaitable<void> pump_rest(caller_ptr caller, exchange_ptr work)
+asio::awaitable<void>
+forward_remaining_body(caller_ptr caller, exchange_ptr work)
 {
     bool last = false;
     while (!last)
@@ -116,7 +117,7 @@
         const bool more = co_await read_more(*caller, chunk.bytes);
         if (!more)
         {
-            caller->gone = true;
+            caller->disconnected = true;
             cancel(*work);
             co_return;
         }
@@ -131,7 +132,7 @@
             co_return;
         }
     }
-    watch_for_hang_up(caller);
+    watch_for_disconnect(caller);
 }
 
 // The caller's fields that go on, and those that the entry node adds.
@@ -169,7 +170,7 @@
     run.work->head = run.head;
     run.work->target_incarnation = step.target.location.host_incarnation;
     run.caller->current = run.work;
-    if (run.caller->gone)
+    if (run.caller->disconnected)
     {
         cancel(*run.work);
     }
@@ -193,8 +194,8 @@
 attempt_result result_of(const call_run& run, bool closed, bool timed_out)
 {
     attempt_result result;
-    result.replayable = !run.body_spent;
-    result.sent = !run.work->untouched;
+    result.replayable = !run.body_streamed;
+    result.sent = !run.work->unsent;
     result.load = run.first.load;
     result.returned_allowance = run.first.returned_allowance;
     result.latency = now() - run.state.attempt_started;
@@ -252,24 +253,24 @@
         {
             break;
         }
-        if (!run.caller->body_complete && !run.body_spent)
+        if (!run.caller->body_complete && !run.body_streamed)
         {
-            run.body_spent = true;
+            run.body_streamed = true;
             asio::co_spawn(
-                run.caller->thread.io, pump_rest(run.caller, work),
+                run.caller->thread.io, forward_remaining_body(run.caller, work),
                 asio::detached);
         }
     }
     if (!closed && run.first.head && !run.first.failure)
     {
         const bool whole = co_await gather_small(work, run.first);
-        if (!whole && !*timed_out && !run.caller->gone)
+        if (!whole && !*timed_out && !run.caller->disconnected)
         {
             run.first.head.reset();
             run.first.failure =
                 stream_failure{refusal::upstream_failed, outcome::unknown};
         }
-        closed = !whole && (*timed_out || run.caller->gone);
+        closed = !whole && (*timed_out || run.caller->disconnected);
     }
     const auto result = result_of(run, closed, *timed_out);
     record_attempt(run, step.target.location.host, result);
@@ -339,7 +340,7 @@
     completion.workspace = run.state.context.workspace;
     completion.idempotency_key = run.state.context.idempotency_key;
     completion.result = result;
-    if (result == outcome::ran && delivered.body_held)
+    if (result == outcome::ran && delivered.has_whole_body)
     {
         completion.reply = {
             delivered.status, delivered.content_type, delivered.body};
@@ -408,7 +409,7 @@
     run.request_id = request.request_id;
     if (caller->body_complete)
     {
-        watch_for_hang_up(caller);
+        watch_for_disconnect(caller);
     }
     call_step step = begin_call(path, run.state, request, now(), thread.random);
     fill_forwarded_fields(run, request);
--- a/src/adapters/call_driver.hpp
+++ b/src/adapters/call_driver.hpp
@@ -80,7 +80,7 @@
     // The attempt under way; cancelled when the caller hangs up.
     std::weak_ptr<exchange> current;
     bool watching = false;
-    bool gone = false;
+    bool disconnected = false;
     // Answered so that the connection cannot carry another request.
     bool must_close = false;
 };
--- a/src/adapters/caller_session.cpp
+++ b/src/adapters/caller_session.cpp
@@ -91,9 +91,9 @@
     {
         co_return true;
     }
-    http::response<http::empty_body> go_on(http::status::continue_, 11);
+    http::response<http::empty_body> interim(http::status::continue_, 11);
     const auto [error, count] = co_await http::async_write(
-        caller->stream, go_on, asio::as_tuple(asio::use_awaitable));
+        caller->stream, interim, asio::as_tuple(asio::use_awaitable));
     co_return !error;
 }
 
@@ -108,9 +108,9 @@
     auto& parser = *caller->parser;
     auto& body = parser.get().body();
     // As much as is announced, or a little more than has come so far.
-    constexpr std::size_t first_room = 4 * 1024;
+    constexpr std::size_t default_read_bytes = 4 * 1024;
     const std::size_t announced = std::min<std::uint64_t>(
-        parser.content_length().value_or(first_room), max_chunk_bytes);
+        parser.content_length().value_or(default_read_bytes), max_chunk_bytes);
     caller->prefix.reserve(announced);
     while (!parser.is_done() && caller->prefix.size() < max_chunk_bytes)
     {
@@ -239,7 +239,7 @@
     if (settings.side == session_side::upstream &&
         profile.parse_upstream_message != nullptr)
     {
-        co_await serve_notice(caller, settings.upstream);
+        co_await serve_upstream_message(caller, settings.upstream);
         co_return;
     }
     const std::string target(view_of(caller->parser->get().target()));
@@ -285,7 +285,7 @@
 {
     boost::system::error_code ignored;
     caller->stream.socket().set_option(asio::ip::tcp::no_delay(true), ignored);
-    while (!caller->must_close && !caller->gone)
+    while (!caller->must_close && !caller->disconnected)
     {
         const bool has_head = co_await read_head(caller);
         if (!has_head)
--- a/src/adapters/control_loop.cpp
+++ b/src/adapters/control_loop.cpp
@@ -227,7 +227,7 @@
     }
     set_upstream(
         loop.gate, *record,
-        {loop.upstream.endpoint, loop.upstream.id, loop.upstream.life});
+        {loop.upstream.endpoint, loop.upstream.id, loop.upstream.incarnation});
     event seen;
     seen.kind = record->state == upstream_state::draining
                     ? event_kind::upstream_draining
@@ -345,7 +345,7 @@
         }
     };
     // Lives of the upstream count on past those of an earlier node here.
-    loop.upstream.life = loop.services.self_incarnation;
+    loop.upstream.incarnation = loop.services.self_incarnation;
     asio::co_spawn(loop.io, run_datagrams(*loop.datagrams), asio::detached);
     asio::post(
         loop.io,
@@ -468,15 +468,15 @@
         loop.io,
         [&loop, digests]
         {
-            const upstream_incarnation life{
-                loop.services.self, loop.upstream.life};
+            const upstream_incarnation incarnation{
+                loop.services.self, loop.upstream.incarnation};
             run_step(
                 loop,
                 [&](control_actions& actions)
                 {
                     quarantine_on_crash(
-                        loop.state.quarantine, loop.state.membership, life,
-                        digests, now(), loop.random, actions);
+                        loop.state.quarantine, loop.state.membership,
+                        incarnation, digests, now(), loop.random, actions);
                 });
             spread_upstream(loop, on_leave(loop.upstream, {}));
         });
--- a/src/adapters/death_watch.cpp
+++ b/src/adapters/crash_detector.cpp
@@ -1,4 +1,4 @@
-#include "adapters/death_watch.hpp"
+#include "adapters/crash_detector.hpp"
 
 #include "adapters/clock.hpp"
 
@@ -13,27 +13,28 @@
 namespace asio = boost::asio;
 
 // The digests that count, each once; forgets them.
-std::vector<std::uint64_t> take_recent(death_watch& watch, time_point now)
+std::vector<std::uint64_t>
+take_recent_digests(crash_detector& detector, time_point now)
 {
     std::vector<std::uint64_t> digests;
-    for (const auto& [digest, at] : watch.recent)
+    for (const auto& [digest, at] : detector.recent)
     {
-        if (now - at <= death_window &&
+        if (now - at <= crash_window &&
             std::find(digests.begin(), digests.end(), digest) == digests.end())
         {
             digests.push_back(digest);
         }
     }
-    watch.recent.clear();
+    detector.recent.clear();
     return digests;
 }
 
 // True when the upstream's port refuses a connection.
-asio::awaitable<bool> is_dead(asio::ip::tcp::endpoint upstream)
+asio::awaitable<bool> is_refusing_connections(asio::ip::tcp::endpoint upstream)
 {
     const auto executor = co_await asio::this_coro::executor;
     auto socket = std::make_shared<asio::ip::tcp::socket>(executor);
-    asio::steady_timer limit(executor, death_probe_timeout);
+    asio::steady_timer limit(executor, crash_probe_timeout);
     limit.async_wait(
         [socket](const boost::system::error_code& error)
         {
@@ -49,53 +50,54 @@
 }
 
 asio::awaitable<void> probe(
-    death_watch* watch, asio::ip::tcp::endpoint upstream,
-    std::function<void(const std::vector<std::uint64_t>&)> on_death)
+    crash_detector* detector, asio::ip::tcp::endpoint upstream,
+    std::function<void(const std::vector<std::uint64_t>&)> on_crash)
 {
-    const bool dead = co_await is_dead(upstream);
+    const bool refused = co_await is_refusing_connections(upstream);
     std::vector<std::uint64_t> digests;
     {
-        const std::scoped_lock lock(watch->mutex);
-        watch->probing = false;
-        if (dead)
+        const std::scoped_lock lock(detector->mutex);
+        detector->probing = false;
+        if (refused)
         {
-            digests = take_recent(*watch, now());
+            digests = take_recent_digests(*detector, now());
         }
     }
-    if (dead)
+    if (refused)
     {
-        on_death(digests);
+        on_crash(digests);
     }
 }
 
 } // namespace
 
-void note_broken_request(
-    death_watch& watch, const asio::any_io_executor& executor,
+void record_broken_request(
+    crash_detector& detector, const asio::any_io_executor& executor,
     const asio::ip::tcp::endpoint& upstream,
     std::optional<std::uint64_t> digest, time_point now,
-    std::function<void(const std::vector<std::uint64_t>&)> on_death)
+    std::function<void(const std::vector<std::uint64_t>&)> on_crash)
 {
     {
-        const std::scoped_lock lock(watch.mutex);
+        const std::scoped_lock lock(detector.mutex);
         std::erase_if(
-            watch.recent,
+            detector.recent,
             [now](const broken_request& request)
             {
-                return now - request.at > death_window;
+                return now - request.at > crash_window;
             });
         if (digest)
         {
-            watch.recent.push_back({*digest, now});
+            detector.recent.push_back({*digest, now});
         }
-        if (watch.probing)
+        if (detector.probing)
         {
             return;
         }
-        watch.probing = true;
+        detector.probing = true;
     }
     asio::co_spawn(
-        executor, probe(&watch, upstream, std::move(on_death)), asio::detached);
+        executor, probe(&detector, upstream, std::move(on_crash)),
+        asio::detached);
 }
 
 } // namespace cyclamenhold
--- a/src/adapters/death_watch.hpp
+++ b/src/adapters/crash_detector.hpp
@@ -18,8 +18,8 @@
 
 // Requests whose connections broke so shortly before a death were in flight
 // when it came.
-constexpr auto death_window = std::chrono::milliseconds(1'000);
-constexpr auto death_probe_timeout = std::chrono::milliseconds(300);
+constexpr auto crash_window = std::chrono::milliseconds(1'000);
+constexpr auto crash_probe_timeout = std::chrono::milliseconds(300);
 
 struct broken_request
 {
@@ -27,7 +27,7 @@
     time_point at{};
 };
 
-struct death_watch
+struct crash_detector
 {
     std::mutex mutex;
     // Guarded by mutex, as is `probing`.
@@ -37,12 +37,12 @@
 
 // A connection to the upstream broke before a reply was whole, or could not be
 // made; `digest` is of the request that had reached the upstream. Probes the
-// upstream unless a probe is under way; `on_death` gets the digests of all
-// requests that broke within death_window when it accepts no connection.
-void note_broken_request(
-    death_watch& watch, const boost::asio::any_io_executor& executor,
+// upstream unless a probe is under way; `on_crash` gets the digests of all
+// requests that broke within crash_window when it accepts no connection.
+void record_broken_request(
+    crash_detector& detector, const boost::asio::any_io_executor& executor,
     const boost::asio::ip::tcp::endpoint& upstream,
     std::optional<std::uint64_t> digest, time_point now,
-    std::function<void(const std::vector<std::uint64_t>&)> on_death);
+    std::function<void(const std::vector<std::uint64_t>&)> on_crash);
 
 } // namespace cyclamenhold
--- a/src/adapters/exchange.hpp
+++ b/src/adapters/exchange.hpp
@@ -78,7 +78,7 @@
     std::function<void(std::size_t)> on_body_consumed;
     std::function<void(std::size_t)> on_reply_consumed;
     // No byte has been handed to an upstream connection yet.
-    std::atomic<bool> untouched{true};
+    std::atomic<bool> unsent{true};
     std::atomic<bool> cancelled{false};
 
     std::mutex mutex;
--- a/src/adapters/http_client.cpp
+++ b/src/adapters/http_client.cpp
@@ -99,7 +99,7 @@
     return request;
 }
 
-void take_head(http_result& result, const body_parser& parser)
+void copy_head(http_result& result, const body_parser& parser)
 {
     const auto& message = parser.get();
     result.http_status = message.result_int();
@@ -110,12 +110,12 @@
     }
 }
 
-void take_body(
+void append_body(
     http_result& result, XXH3_state_t* hash, const char* data, std::size_t size)
 {
     XXH3_64bits_update(hash, data, size);
     result.body_bytes += size;
-    const std::size_t room = max_kept_body - result.body.size();
+    const std::size_t room = max_kept_body_bytes - result.body.size();
     result.body.append(data, std::min(size, room));
 }
 
@@ -138,7 +138,7 @@
     {
         co_return error;
     }
-    take_head(result, parser);
+    copy_head(result, parser);
     std::unique_ptr<XXH3_state_t, hash_deleter> hash(XXH3_createState());
     XXH3_64bits_reset(hash.get());
     std::vector<char> chunk(
@@ -156,7 +156,7 @@
         {
             co_return read_error;
         }
-        take_body(
+        append_body(
             result, hash.get(), chunk.data(),
             chunk.size() - parser.get().body().size);
     }
--- a/src/adapters/http_client.hpp
+++ b/src/adapters/http_client.hpp
@@ -51,14 +51,14 @@
     http_call_status status = http_call_status::not_sent;
     unsigned http_status = 0;
     std::vector<http_header> headers;
-    // At most `max_kept_body` bytes of the body.
+    // At most `max_kept_body_bytes` bytes of the body.
     std::string body;
     std::uint64_t body_bytes = 0;
     // XXH3 of the whole body.
     std::uint64_t body_hash = 0;
 };
 
-constexpr std::size_t max_kept_body = 4 * 1024 * 1024;
+constexpr std::size_t max_kept_body_bytes = 4 * 1024 * 1024;
 
 struct http_connection;
 
--- a/src/adapters/http_fields.cpp
+++ b/src/adapters/http_fields.cpp
@@ -14,7 +14,7 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-constexpr std::string_view own_prefix = "cyclamen-";
+constexpr std::string_view system_prefix = "cyclamen-";
 
 std::string_view view_of(beast::string_view text)
 {
@@ -51,12 +51,12 @@
     return http::token_list(options).exists({name.data(), name.size()});
 }
 
-bool is_own(std::string_view name)
+bool is_system_field(std::string_view name)
 {
-    return name.size() >= own_prefix.size() &&
+    return name.size() >= system_prefix.size() &&
            beast::iequals(
-               {name.data(), own_prefix.size()},
-               {own_prefix.data(), own_prefix.size()});
+               {name.data(), system_prefix.size()},
+               {system_prefix.data(), system_prefix.size()});
 }
 
 // What the caller says in such a field is replaced or dropped.
@@ -81,7 +81,7 @@
     {
         const auto name = view_of(field.name_string());
         const auto value = view_of(field.value());
-        if (is_hop_by_hop(field.name()) || is_own(name) ||
+        if (is_hop_by_hop(field.name()) || is_system_field(name) ||
             is_connection_option(fields, name) || drop(value))
         {
             continue;
--- a/src/adapters/local_gate.cpp
+++ b/src/adapters/local_gate.cpp
@@ -24,7 +24,7 @@
     gate.services.record(seen);
 }
 
-void settle(local_gate& gate, const gate_decisions& decisions);
+void apply_decisions(local_gate& gate, const gate_decisions& decisions);
 
 bool is_suspect_here(local_gate& gate, std::uint64_t digest)
 {
@@ -34,7 +34,7 @@
 
 // Looks for the upstream's death behind a failure, and clears a suspect that
 // ended well.
-void note_end(
+void record_request_end(
     local_gate& gate, const exchange& work,
     const asio::ip::tcp::endpoint& endpoint,
     const upstream_connection_ptr& connection, gate_result result, bool broke)
@@ -42,9 +42,9 @@
     const std::uint64_t digest = work.context.digest;
     if (result == gate_result::failed)
     {
-        note_broken_request(
-            gate.deaths, connection->stream.get_executor(), endpoint,
-            broke ? std::optional(digest) : std::nullopt, now(), gate.on_death);
+        record_broken_request(
+            gate.crashes, connection->stream.get_executor(), endpoint,
+            broke ? std::optional(digest) : std::nullopt, now(), gate.on_crash);
     }
     else if (result == gate_result::replied && is_suspect_here(gate, digest))
     {
@@ -95,8 +95,8 @@
             request->record->child_wait.total(now()));
     }
     --gate->running;
-    note_end(*gate, *work, endpoint, connection, result, broke);
-    settle(*gate, decisions);
+    record_request_end(*gate, *work, endpoint, connection, result, broke);
+    apply_decisions(*gate, decisions);
 }
 
 void start(local_gate& gate, const exchange_ptr& work, gate_entry_id entry_id)
@@ -122,7 +122,7 @@
     fail(*work, {reason, outcome::not_run}, load);
 }
 
-void settle(local_gate& gate, const gate_decisions& decisions)
+void apply_decisions(local_gate& gate, const gate_decisions& decisions)
 {
     for (const auto& [entry_id, reason] : decisions)
     {
@@ -157,7 +157,7 @@
         }
         decisions = gate_cancel(gate.gate, entry_id, now());
     }
-    settle(gate, decisions);
+    apply_decisions(gate, decisions);
 }
 
 void offer(local_gate& gate, const exchange_ptr& work)
@@ -177,7 +177,7 @@
         {
             cancel_waiting(gate, entry_id);
         });
-    settle(gate, decisions);
+    apply_decisions(gate, decisions);
 }
 
 } // namespace
@@ -221,7 +221,7 @@
         const std::scoped_lock lock(gate.mutex);
         decisions = gate_set_upstream(gate.gate, record, now());
     }
-    settle(gate, decisions);
+    apply_decisions(gate, decisions);
 }
 
 void tick_gate(local_gate& gate)
@@ -231,7 +231,7 @@
         const std::scoped_lock lock(gate.mutex);
         decisions = gate_tick(gate.gate, now());
     }
-    settle(gate, decisions);
+    apply_decisions(gate, decisions);
 }
 
 load_report report_of(local_gate& gate)
@@ -240,7 +240,7 @@
     return gate_report(gate.gate, now());
 }
 
-std::size_t requests_at(local_gate& gate)
+std::size_t count_requests(local_gate& gate)
 {
     const std::scoped_lock lock(gate.mutex);
     return gate.waiting.size() + gate.running;
--- a/src/adapters/local_gate.hpp
+++ b/src/adapters/local_gate.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "adapters/call_handles.hpp"
-#include "adapters/death_watch.hpp"
+#include "adapters/crash_detector.hpp"
 #include "adapters/exchange.hpp"
 #include "adapters/node_services.hpp"
 #include "adapters/upstream_pool.hpp"
@@ -33,9 +33,9 @@
     std::atomic<gate_entry_id> next_entry_id{1};
     // Requests that are running now.
     std::atomic<std::uint32_t> running{0};
-    death_watch deaths;
+    crash_detector crashes;
     // Tells the control thread of a death, and of a suspect that ended well.
-    std::function<void(const std::vector<std::uint64_t>&)> on_death;
+    std::function<void(const std::vector<std::uint64_t>&)> on_crash;
     std::function<void(std::uint64_t)> on_suspect_success;
     // Asks the control thread whether a claim may still be used, and calls
     // back with the answer.
@@ -57,6 +57,6 @@
 [[nodiscard]] load_report report_of(local_gate& gate);
 
 // Requests that wait or run.
-[[nodiscard]] std::size_t requests_at(local_gate& gate);
+[[nodiscard]] std::size_t count_requests(local_gate& gate);
 
 } // namespace cyclamenhold
--- a/src/adapters/node_runtime.cpp
+++ b/src/adapters/node_runtime.cpp
@@ -302,7 +302,7 @@
     {
         post_claim_check(node.control, grant, std::move(callback));
     };
-    node.gate.on_death = [&node](const std::vector<std::uint64_t>& digests)
+    node.gate.on_crash = [&node](const std::vector<std::uint64_t>& digests)
     {
         post_upstream_death(node.control, digests);
     };
@@ -452,7 +452,7 @@
 
 std::size_t work_left(node_runtime& node)
 {
-    std::size_t left = requests_at(node.gate) + node.sessions;
+    std::size_t left = count_requests(node.gate) + node.sessions;
     for (const auto& thread : node.threads)
     {
         left += streams_of(*thread);
--- a/src/adapters/peer_streams.cpp
+++ b/src/adapters/peer_streams.cpp
@@ -476,7 +476,7 @@
     stream->granted = stream_window_bytes;
     work->on_reply_consumed = make_consumed_hook(link, stream, id);
     link->streams.emplace(id, stream);
-    work->untouched = false;
+    work->unsent = false;
     encode_open_stream(
         link->connection->pending, id, work->context, work->head,
         work->target_incarnation, now(), link->services.stamp_send());
--- a/src/adapters/reply_writer.cpp
+++ b/src/adapters/reply_writer.cpp
@@ -36,7 +36,7 @@
     return text.data();
 }
 
-bool keeps_alive(const caller_connection& caller)
+bool is_keep_alive(const caller_connection& caller)
 {
     return !caller.must_close && caller.body_complete && caller.parser &&
            caller.parser->get().keep_alive() &&
@@ -49,7 +49,7 @@
     outcome result)
 {
     response.version(http_version_1_1);
-    response.keep_alive(keeps_alive(caller));
+    response.keep_alive(is_keep_alive(caller));
     const header_names& names = names_of(caller);
     response.set(names.trace, to_string(trace));
     response.set(names.outcome, std::string(name_of(result)));
@@ -82,14 +82,14 @@
     co_return !error;
 }
 
-void keep(delivered_reply& delivered, std::string_view bytes)
+void store_body_bytes(delivered_reply& delivered, std::string_view bytes)
 {
     if (delivered.body.size() + bytes.size() > max_stored_reply_bytes)
     {
-        delivered.body_held = false;
+        delivered.has_whole_body = false;
         delivered.body.clear();
     }
-    if (delivered.body_held)
+    if (delivered.has_whole_body)
     {
         delivered.body += bytes;
     }
@@ -134,7 +134,7 @@
     co_return !error || error == http::error::need_buffer;
 }
 
-void consumed_reply(const exchange& work, std::size_t bytes)
+void report_consumed_reply(const exchange& work, std::size_t bytes)
 {
     if (work.on_reply_consumed && bytes > 0)
     {
@@ -166,8 +166,8 @@
         {
             co_return false;
         }
-        keep(delivered, event.bytes);
-        consumed_reply(*work, event.bytes.size());
+        store_body_bytes(delivered, event.bytes);
+        report_consumed_reply(*work, event.bytes.size());
         if (event.last)
         {
             co_return true;
@@ -183,7 +183,7 @@
 }
 
 // The next event of a reply whose head came without its body's first bytes.
-asio::awaitable<bool> join_first_piece(exchange_ptr work, reply_event& first)
+asio::awaitable<bool> append_next_piece(exchange_ptr work, reply_event& first)
 {
     auto [error, next] =
         co_await work->reply.async_receive(asio::as_tuple(asio::use_awaitable));
@@ -204,8 +204,8 @@
     const bool small = size && *size <= max_chunk_bytes;
     while (small && !first.last)
     {
-        const bool joined = co_await join_first_piece(work, first);
-        if (!joined)
+        const bool appended = co_await append_next_piece(work, first);
+        if (!appended)
         {
             co_return false;
         }
@@ -227,10 +227,10 @@
     }
     if (first.last)
     {
-        keep(delivered, first.bytes);
+        store_body_bytes(delivered, first.bytes);
         const std::size_t size = first.bytes.size();
         delivered.whole = co_await write_whole(caller, first, trace);
-        consumed_reply(*work, size);
+        report_consumed_reply(*work, size);
         co_return delivered;
     }
     delivered.whole = co_await write_streamed(
@@ -297,7 +297,7 @@
 {
     http::response<http::string_body> response;
     response.version(http_version_1_1);
-    response.keep_alive(keeps_alive(*caller));
+    response.keep_alive(is_keep_alive(*caller));
     response.result(status);
     response.set(http::field::content_type, "application/json");
     response.body() = boost::json::serialize(body) + '\n';
--- a/src/adapters/upstream_client.cpp
+++ b/src/adapters/upstream_client.cpp
@@ -22,7 +22,7 @@
 
 // Replies are read in pieces of this size, which bounds what a slow caller
 // makes a node hold.
-using piece_space = std::array<char, 16 * 1024>;
+using piece_buffer = std::array<char, 16 * 1024>;
 
 // The failure of an attempt whose request reached the upstream.
 stream_failure failure_after(const beast::error_code& error)
@@ -51,7 +51,7 @@
 {
     fail(*call.work, failure, call.report(), call.returned_allowance());
     const gate_result result = result_after(call, error);
-    const bool broke = result == gate_result::failed && !call.work->untouched;
+    const bool broke = result == gate_result::failed && !call.work->unsent;
     return {result, broke, false};
 }
 
@@ -87,7 +87,7 @@
     set(names.upstream_id, call.upstream_id);
 }
 
-void consumed_body(const upstream_call& call, std::size_t bytes)
+void report_consumed_body(const upstream_call& call, std::size_t bytes)
 {
     if (call.work->on_body_consumed && bytes > 0)
     {
@@ -129,7 +129,7 @@
     {
         error = {};
     }
-    consumed_body(call, chunk.bytes.size());
+    report_consumed_body(call, chunk.bytes.size());
     co_return error;
 }
 
@@ -194,7 +194,7 @@
 
 // Reads the next piece of the reply's body.
 asio::awaitable<beast::error_code> read_piece(
-    upstream_call& call, response_parser& parser, piece_space& space,
+    upstream_call& call, response_parser& parser, piece_buffer& space,
     std::string& bytes)
 {
     auto& body = parser.get().body();
@@ -237,7 +237,7 @@
 asio::awaitable<beast::error_code>
 skip_body(upstream_call& call, response_parser& parser)
 {
-    auto space = std::make_unique_for_overwrite<piece_space>();
+    auto space = std::make_unique_for_overwrite<piece_buffer>();
     std::string dropped;
     while (!parser.is_done())
     {
@@ -261,11 +261,11 @@
 }
 
 // Reads the head of the request's own reply into `parser`.
-asio::awaitable<beast::error_code>
-read_own_head(upstream_call& call, std::unique_ptr<response_parser>& parser)
+asio::awaitable<beast::error_code> read_matching_head(
+    upstream_call& call, std::unique_ptr<response_parser>& parser)
 {
-    constexpr int most_skipped = 3;
-    for (int skipped = 0; skipped <= most_skipped; ++skipped)
+    constexpr int max_stray_replies = 3;
+    for (int skipped = 0; skipped <= max_stray_replies; ++skipped)
     {
         parser = std::make_unique<response_parser>();
         parser->header_limit(max_reply_header_bytes);
@@ -279,7 +279,7 @@
         {
             co_return error;
         }
-        call.connection->has_strayed = true;
+        call.connection->had_stray_reply = true;
         error = co_await skip_body(call, *parser);
         if (error)
         {
@@ -290,7 +290,7 @@
 }
 
 // The upstream says that it has not run the request.
-bool says_not_run(const upstream_call& call, const response_parser& parser)
+bool is_not_run(const upstream_call& call, const response_parser& parser)
 {
     constexpr unsigned misdirected = 421;
     return parser.get().result_int() == misdirected ||
@@ -300,7 +300,7 @@
 // Passes an upstream's own refusal on as one of its node, which another
 // upstream may make good.
 asio::awaitable<upstream_result>
-refuse_for_upstream(upstream_call& call, response_parser& parser)
+forward_upstream_refusal(upstream_call& call, response_parser& parser)
 {
     const bool keep_alive = parser.keep_alive();
     const unsigned status = parser.get().result_int();
@@ -328,15 +328,15 @@
 asio::awaitable<upstream_result> receive_reply(upstream_call& call)
 {
     std::unique_ptr<response_parser> parser;
-    const beast::error_code error = co_await read_own_head(call, parser);
+    const beast::error_code error = co_await read_matching_head(call, parser);
     auto& stream = call.connection->stream;
     if (error)
     {
         co_return fail_call(call, error, failure_after(error));
     }
-    if (says_not_run(call, *parser))
+    if (is_not_run(call, *parser))
     {
-        co_return co_await refuse_for_upstream(call, *parser);
+        co_return co_await forward_upstream_refusal(call, *parser);
     }
     if (lacks_signature(call, *parser))
     {
@@ -347,14 +347,14 @@
     reply_event event = make_head_event(call, *parser);
     const unsigned status = parser->get().result_int();
     const bool bodyless = is_bodyless(call, status);
-    std::unique_ptr<piece_space> space;
+    std::unique_ptr<piece_buffer> space;
     while (true)
     {
         if (!bodyless && !parser->is_done())
         {
             if (!space)
             {
-                space = std::make_unique_for_overwrite<piece_space>();
+                space = std::make_unique_for_overwrite<piece_buffer>();
             }
             stream.expires_after(call.body_stall_timeout);
             const auto failed =
@@ -388,7 +388,8 @@
     const bool shed = status == 503 || status == 429;
     co_return upstream_result{
         shed ? gate_result::shed : gate_result::replied, false,
-        parser->keep_alive() && !bodyless && !call.connection->has_strayed &&
+        parser->keep_alive() && !bodyless &&
+            !call.connection->had_stray_reply &&
             call.connection->buffer.size() == 0};
 }
 
@@ -419,7 +420,7 @@
         co_return fail_call(
             call, refused, {refusal::upstream_failed, outcome::not_run});
     }
-    call.work->untouched = false;
+    call.work->unsent = false;
     call.connection->stream.expires_at(call.work->context.deadline);
     const bool whole = chunk.last;
     beast::error_code error;
--- a/src/adapters/upstream_monitor.cpp
+++ b/src/adapters/upstream_monitor.cpp
@@ -46,7 +46,7 @@
            (monitor.has_left || announcement.sequence <= monitor.sequence);
 }
 
-void start_life(
+void start_incarnation(
     upstream_monitor& monitor, const upstream_announcement& announcement,
     time_point now)
 {
@@ -56,7 +56,7 @@
     monitor.id = announcement.id;
     monitor.started_ms = announcement.started_ms;
     monitor.has_left = false;
-    ++monitor.life;
+    ++monitor.incarnation;
     monitor.warm_until = now + announcement.warm_up;
     monitor.record.state = draining ? upstream_state::draining
                            : announcement.warm_up > duration::zero()
@@ -83,7 +83,7 @@
     monitor.announced_at = now;
     if (!is_announced(monitor) || !is_same_process(monitor, announcement))
     {
-        start_life(monitor, announcement, now);
+        start_incarnation(monitor, announcement, now);
         return monitor.record;
     }
     if (announcement.record.state == upstream_state::draining)
--- a/src/adapters/upstream_monitor.hpp
+++ b/src/adapters/upstream_monitor.hpp
@@ -26,7 +26,7 @@
     // It said that it is gone; its late announcements are not believed.
     bool has_left = false;
     // Tells one upstream process from the next; grows with each.
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     time_point announced_at{};
     time_point warm_until{};
 };
--- a/src/adapters/upstream_pool.cpp
+++ b/src/adapters/upstream_pool.cpp
@@ -11,7 +11,7 @@
 
 // An idle connection on which anything can be read has been closed, or holds
 // bytes that answer no request.
-bool looks_alive(upstream_connection& connection)
+bool is_reusable(upstream_connection& connection)
 {
     char byte = 0;
     const auto handle = connection.stream.socket().native_handle();
@@ -30,11 +30,11 @@
         {
             return connection->stream.get_executor() == executor;
         });
-    const auto chosen = same_thread == pool.idle.rend()
-                            ? std::prev(pool.idle.end())
-                            : std::prev(same_thread.base());
-    auto connection = *chosen;
-    pool.idle.erase(chosen);
+    const auto selected = same_thread == pool.idle.rend()
+                              ? std::prev(pool.idle.end())
+                              : std::prev(same_thread.base());
+    auto connection = *selected;
+    pool.idle.erase(selected);
     return connection;
 }
 
@@ -43,15 +43,15 @@
 void set_address(upstream_pool& pool, const upstream_address& address)
 {
     const std::scoped_lock lock(pool.mutex);
-    const auto& [endpoint, id, life] = address;
+    const auto& [endpoint, id, incarnation] = address;
     if (pool.endpoint == endpoint && pool.upstream_id == id &&
-        pool.life == life)
+        pool.incarnation == incarnation)
     {
         return;
     }
     pool.endpoint = endpoint;
     pool.upstream_id = id;
-    pool.life = life;
+    pool.incarnation = incarnation;
     ++pool.generation;
     pool.idle.clear();
 }
@@ -63,7 +63,7 @@
     while (!pool.idle.empty())
     {
         auto connection = take_idle(pool, executor);
-        if (looks_alive(*connection))
+        if (is_reusable(*connection))
         {
             return connection;
         }
--- a/src/adapters/upstream_pool.hpp
+++ b/src/adapters/upstream_pool.hpp
@@ -29,7 +29,7 @@
     // The announcement it belongs to; older ones are not used again.
     std::uint64_t generation = 0;
     // Has brought a reply to a request that was over.
-    bool has_strayed = false;
+    bool had_stray_reply = false;
     // Has carried a request before.
     bool used = false;
 };
@@ -41,7 +41,7 @@
 {
     asio::ip::tcp::endpoint endpoint;
     std::string id;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     bool operator==(const upstream_address&) const = default;
 };
 
@@ -50,7 +50,7 @@
     std::mutex mutex;
     asio::ip::tcp::endpoint endpoint;
     std::string upstream_id;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::uint64_t generation = 0;
     std::vector<upstream_connection_ptr> idle;
 };
--- a/src/adapters/upstream_requests.cpp
+++ b/src/adapters/upstream_requests.cpp
@@ -112,14 +112,16 @@
     return announcement;
 }
 
-asio::awaitable<void> serve_notice(caller_ptr caller, upstream_port* port)
+asio::awaitable<void>
+serve_upstream_message(caller_ptr caller, upstream_port* port)
 {
     const auto& request = caller->parser->get();
     const std::string method(request.method_string());
     const std::string target(request.target());
-    const auto notice = caller->thread.services.profile.parse_upstream_message(
-        method, target, caller->prefix);
-    if (const auto* found = std::get_if<findings>(&notice))
+    const auto upstream_message =
+        caller->thread.services.profile.parse_upstream_message(
+            method, target, caller->prefix);
+    if (const auto* found = std::get_if<findings>(&upstream_message))
     {
         event seen;
         seen.kind = event_kind::bad_input;
@@ -128,11 +130,13 @@
         co_await write_json(caller, 400, findings_json(*found));
         co_return;
     }
-    if (const auto* announced = std::get_if<upstream_announcement>(&notice))
+    if (const auto* announced =
+            std::get_if<upstream_announcement>(&upstream_message))
     {
         port->announce(*announced);
     }
-    else if (const auto* left = std::get_if<upstream_departure>(&notice))
+    else if (
+        const auto* left = std::get_if<upstream_departure>(&upstream_message))
     {
         port->leave(*left);
     }
--- a/src/adapters/upstream_requests.hpp
+++ b/src/adapters/upstream_requests.hpp
@@ -20,7 +20,7 @@
 
 // Answers a request on the upstream's port in the dialect's spelling.
 [[nodiscard]] asio::awaitable<void>
-serve_notice(caller_ptr caller, upstream_port* port);
+serve_upstream_message(caller_ptr caller, upstream_port* port);
 
 // Answers such a request, whose body is the caller's prefix.
 [[nodiscard]] asio::awaitable<void>
--- a/tests/platform/upstream_messages_test.cpp
+++ b/tests/platform/upstream_messages_test.cpp
@@ -95,7 +95,7 @@
 {
     upstream_monitor monitor;
     ASSERT_TRUE(deliver(monitor, heartbeat_message("i-1", "ready", 1)));
-    const std::uint64_t first_incarnation = monitor.life;
+    const std::uint64_t first_incarnation = monitor.incarnation;
     {
         SCOPED_TRACE("a repeated heartbeat changes nothing");
         EXPECT_FALSE(deliver(monitor, heartbeat_message("i-1", "ready", 2)));
@@ -120,7 +120,7 @@
         ASSERT_TRUE(
             deliver(monitor, heartbeat_message("i-2", "ready", 1, 2'000)));
         EXPECT_EQ(monitor.record.state, upstream_state::serving);
-        EXPECT_GT(monitor.life, first_incarnation);
+        EXPECT_GT(monitor.incarnation, first_incarnation);
     }
     {
         SCOPED_TRACE(
