--- a/src/adapters/call_driver.cpp
+++ b/src/adapters/call_driver.cpp
@@ -340,7 +340,7 @@
     completion.workspace = run.state.context.workspace;
     completion.idempotency_key = run.state.context.idempotency_key;
     completion.result = result;
-    if (result == outcome::ran && delivered.has_whole_body)
+    if (result == outcome::ran && delivered.is_body_stored)
     {
         completion.reply = {
             delivered.status, delivered.content_type, delivered.body};
--- a/src/adapters/reply_writer.cpp
+++ b/src/adapters/reply_writer.cpp
@@ -86,10 +86,10 @@
 {
     if (delivered.body.size() + bytes.size() > max_stored_reply_bytes)
     {
-        delivered.has_whole_body = false;
+        delivered.is_body_stored = false;
         delivered.body.clear();
     }
-    if (delivered.has_whole_body)
+    if (delivered.is_body_stored)
     {
         delivered.body += bytes;
     }
--- a/src/adapters/reply_writer.hpp
+++ b/src/adapters/reply_writer.hpp
@@ -20,7 +20,7 @@
     std::string content_type;
     // The body, while it is at most max_stored_reply_bytes.
     std::string body;
-    bool has_whole_body = true;
+    bool is_body_stored = true;
 };
 
 // Streams the reply of `work`, whose first event is `first`, to the caller. A
