--- a/src/adapters/async_semaphore.hpp
+++ b/src/adapters/async_semaphore.hpp
@@ -32,14 +32,15 @@
     std::deque<std::shared_ptr<semaphore_waiter>> waiters;
 };
 
-// Takes one permit, waiting for it until `deadline` at most; false without it.
+// Acquires one permit, waiting until `deadline` at most. False when none was
+// granted by then.
 [[nodiscard]] boost::asio::awaitable<bool>
 acquire(async_semaphore& semaphore, time_point deadline);
 
-// Gives one permit back, to the oldest waiter if there is one.
+// Releases one permit, to the oldest waiter if there is one.
 void release(async_semaphore& semaphore);
 
-// Gives a permit back at the end of a scope.
+// Releases a permit at the end of a scope.
 class semaphore_permit
 {
 public:
--- a/src/adapters/call_driver.cpp
+++ b/src/adapters/call_driver.cpp
@@ -14,7 +14,7 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-// The request as one attempt after another sees it.
+// The state of one request across its attempts.
 struct call_run
 {
     caller_ptr caller;
@@ -23,45 +23,47 @@
     request_head head;
     // The caller's own id of the request.
     std::string request_id;
-    // More of the body than the prefix has disconnected to an upstream.
+    // An upstream has been sent more of the body than the prefix, so the
+    // request cannot be sent again.
     bool body_streamed = false;
     exchange_ptr work;
-    reply_event first;
+    reply_event first_event;
 };
 
 void record(
     const call_run& run, event_kind kind, host_id peer, std::string detail)
 {
-    event seen;
-    seen.kind = kind;
-    seen.trace = run.state.context.trace;
-    seen.request_id = run.request_id;
-    seen.workspace = run.state.context.workspace;
-    seen.peer = peer;
-    seen.detail = std::move(detail);
-    run.caller->thread.services.record(seen);
+    event recorded;
+    recorded.kind = kind;
+    recorded.trace = run.state.context.trace;
+    recorded.request_id = run.request_id;
+    recorded.workspace = run.state.context.workspace;
+    recorded.peer = peer;
+    recorded.detail = std::move(detail);
+    run.caller->thread.services.record(recorded);
 }
 
 void record_attempt(
     const call_run& run, host_id target, const attempt_result& result)
 {
     constexpr unsigned first_server_error = 500;
-    event seen;
-    seen.kind = event_kind::attempt_ended;
-    seen.trace = run.state.context.trace;
-    seen.request_id = run.request_id;
-    seen.workspace = run.state.context.workspace;
-    seen.peer = target;
+    event recorded;
+    recorded.kind = event_kind::attempt_ended;
+    recorded.trace = run.state.context.trace;
+    recorded.request_id = run.request_id;
+    recorded.workspace = run.state.context.workspace;
+    recorded.peer = target;
     const bool replied = result.status == attempt_status::replied;
-    seen.detail = replied ? std::to_string(result.http_status)
-                          : std::string(name_of(result.reason)) + ", " +
-                                std::string(name_of(result.result));
-    seen.is_routine = replied && result.http_status < first_server_error;
-    run.caller->thread.services.record(seen);
+    recorded.detail = replied ? std::to_string(result.http_status)
+                              : std::string(name_of(result.reason)) + ", " +
+                                    std::string(name_of(result.result));
+    recorded.is_routine = replied && result.http_status < first_server_error;
+    run.caller->thread.services.record(recorded);
 }
 
-// Cancels the attempt under way when the caller's connection ends. A wait that
-// outlives its request completes with the next one's first byte.
+// Cancels the attempt in progress when the caller's connection ends. A wait
+// that is still pending after its request completes on the first byte of the
+// next one.
 void watch_for_disconnect(const caller_ptr& caller)
 {
     if (caller->watching)
@@ -106,7 +108,7 @@
     co_return !error || error == http::error::need_buffer;
 }
 
-// Moves the rest of a long body from the caller to the attempt.
+// Forwards the rest of a long body from the caller to the attempt.
 asio::awaitable<void>
 forward_remaining_body(caller_ptr caller, exchange_ptr work)
 {
@@ -135,7 +137,8 @@
     watch_for_disconnect(caller);
 }
 
-// The caller's fields that go on, and those that the entry node adds.
+// Collects the caller's header fields that are forwarded and those that the
+// entry node adds.
 void fill_forwarded_fields(call_run& run, const call_request& request)
 {
     const node_services& services = run.caller->thread.services;
@@ -190,14 +193,16 @@
     send_exchange(thread.links, target, run.work);
 }
 
-// What the first event of the attempt, or the lack of one, amounts to.
+// The result of the attempt, from its first event. `closed` means that the
+// attempt was cancelled before that event was complete, by its deadline if
+// `timed_out`.
 attempt_result result_of(const call_run& run, bool closed, bool timed_out)
 {
     attempt_result result;
     result.replayable = !run.body_streamed;
     result.sent = !run.work->unsent;
-    result.load = run.first.load;
-    result.returned_allowance = run.first.returned_allowance;
+    result.load = run.first_event.load;
+    result.returned_allowance = run.first_event.returned_allowance;
     result.latency = now() - run.state.attempt_started;
     if (closed)
     {
@@ -208,10 +213,10 @@
         result.result = result.sent ? outcome::unknown : outcome::not_run;
         return result;
     }
-    if (run.first.failure)
+    if (run.first_event.failure)
     {
-        result.reason = run.first.failure->reason;
-        result.result = run.first.failure->result;
+        result.reason = run.first_event.failure->reason;
+        result.result = run.first_event.failure->result;
         const bool refused = result.result == outcome::not_run;
         result.status = refused ? attempt_status::refused
                         : result.reason == refusal::deadline_exceeded
@@ -221,11 +226,11 @@
     }
     result.status = attempt_status::replied;
     result.result = outcome::ran;
-    result.http_status = run.first.head->status;
+    result.http_status = run.first_event.head->status;
     return result;
 }
 
-// Sends the request and waits for the first event that says how it went.
+// Sends the request and waits for the first event that decides the result.
 asio::awaitable<attempt_result> attempt(call_run& run, const call_step& step)
 {
     dispatch(run, step);
@@ -248,8 +253,8 @@
         auto [error, event] = co_await work->reply.async_receive(
             asio::as_tuple(asio::use_awaitable));
         closed = static_cast<bool>(error);
-        run.first = std::move(event);
-        if (closed || !run.first.started)
+        run.first_event = std::move(event);
+        if (closed || !run.first_event.started)
         {
             break;
         }
@@ -261,13 +266,13 @@
                 asio::detached);
         }
     }
-    if (!closed && run.first.head && !run.first.failure)
+    if (!closed && run.first_event.head && !run.first_event.failure)
     {
-        const bool whole = co_await gather_small(work, run.first);
+        const bool whole = co_await gather_small(work, run.first_event);
         if (!whole && !*timed_out && !run.caller->disconnected)
         {
-            run.first.head.reset();
-            run.first.failure =
+            run.first_event.head.reset();
+            run.first_event.failure =
                 stream_failure{refusal::upstream_failed, outcome::unknown};
         }
         closed = !whole && (*timed_out || run.caller->disconnected);
@@ -277,7 +282,7 @@
     co_return result;
 }
 
-// Waits for the control thread; an empty wakeup at the deadline.
+// Waits for the control thread's answer; nullopt at the deadline.
 asio::awaitable<std::optional<call_wakeup>> wait_for_wakeup(call_run& run)
 {
     request_thread& thread = run.caller->thread;
@@ -356,7 +361,7 @@
     case call_step_kind::deliver:
     {
         const auto delivered = co_await deliver_reply(
-            run.caller, run.work, std::move(run.first), trace);
+            run.caller, run.work, std::move(run.first_event), trace);
         complete_claim(
             run,
             delivered.whole || delivered.status != 0 ? outcome::ran
@@ -372,7 +377,7 @@
     case call_step_kind::answer_stored:
         record(
             run, event_kind::request_answered, host_id::none,
-            "from the record");
+            "from the stored reply");
         co_await write_stored(run.caller, step.reply, trace);
         co_return;
     default:
--- a/src/adapters/call_driver.hpp
+++ b/src/adapters/call_driver.hpp
@@ -1,5 +1,5 @@
-// Drives one call from a parsed request to its answer: carries out the steps
-// of the call machine on one request thread.
+// Runs one call from its parsed request to its reply: executes the steps of the
+// call state machine on a request thread.
 #pragma once
 
 #include "adapters/call_handles.hpp"
@@ -21,25 +21,26 @@
 namespace cyclamenhold
 {
 
-// What the request path asks of the control thread, from any thread.
+// Functions of the control thread that the request path calls, from any thread.
 struct control_port
 {
     std::function<void(const claim_request&)> request_claim;
     std::function<void(const claim_completion&)> complete_claim;
-    // Calls back with a new ticket; empty when none can be issued.
+    // Calls back with a new ticket, or with an empty string when none can be
+    // issued.
     std::function<void(std::function<void(std::string)>)> issue_ticket;
 };
 
 struct caller_connection;
 
-// One of the threads that serve requests, and what belongs to it.
+// The state of one of the threads that serve requests.
 struct request_thread
 {
     request_thread(
-        node_services& shared, local_gate& front, call_wakeups& wakeups,
+        node_services& shared, local_gate& shared_gate, call_wakeups& wakeups,
         control_port& control_side, std::uint64_t seed)
         : services(shared),
-          gate(front),
+          gate(shared_gate),
           wakeups(wakeups),
           control(control_side),
           links(shared, io.get_executor()),
@@ -54,14 +55,14 @@
     asio::io_context io{1};
     peer_links links;
     random_source random;
-    // Connections that wait for their next request; a planned stop closes them.
+    // Connections without a request in progress; a planned stop closes them.
     std::unordered_set<std::shared_ptr<caller_connection>> idle;
 };
 
 using caller_parser =
     boost::beast::http::request_parser<boost::beast::http::buffer_body>;
 
-// A caller's connection with the request that is being read from it.
+// A caller's connection and the request being read from it.
 struct caller_connection
 {
     caller_connection(request_thread& owner, asio::ip::tcp::socket socket)
@@ -75,13 +76,14 @@
     std::unique_ptr<caller_parser> parser;
     // The first bytes of the body, at most max_chunk_bytes.
     std::string prefix;
-    // The prefix is the whole body.
+    // The body has been read to its end.
     bool body_complete = false;
-    // The attempt under way; cancelled when the caller hangs up.
+    // The attempt in progress; cancelled when the caller disconnects.
     std::weak_ptr<exchange> current;
+    // A wait for the caller's disconnection is pending.
     bool watching = false;
     bool disconnected = false;
-    // Answered so that the connection cannot carry another request.
+    // The connection cannot carry another request after the current reply.
     bool must_close = false;
 };
 
--- a/src/adapters/call_handles.hpp
+++ b/src/adapters/call_handles.hpp
@@ -1,6 +1,6 @@
-// The requests that run at the local upstream, by the opaque handle that the
-// upstream passes back with its child calls. A handle dies with its request,
-// and its child calls are cancelled with it. Thread-safe.
+// Requests that run at the local upstream, indexed by the opaque handle that
+// the upstream sends back with its child calls. A handle expires with its
+// request, and the child calls are cancelled with it. Thread-safe.
 #pragma once
 
 #include "adapters/exchange.hpp"
@@ -20,11 +20,11 @@
 struct running_request
 {
     std::string handle;
-    // What the child calls need and share: context, retry allowance, levels.
+    // State shared with the child calls: context, retry allowance, levels.
     std::shared_ptr<call_record> record;
     std::mutex mutex;
     bool ended = false;
-    // Child calls under way.
+    // Child calls in progress.
     std::vector<std::weak_ptr<exchange>> children;
 };
 
@@ -36,18 +36,20 @@
     std::unordered_map<std::string, running_request_ptr> running;
 };
 
-// Registers a request and gives it a fresh handle.
+// Registers a request under a new random handle.
 [[nodiscard]] running_request_ptr
 begin_running(call_handles& handles, const request_context& context);
 
-// Forgets the request and cancels its child calls.
+// Removes the request and cancels its child calls.
 void end_running(call_handles& handles, const running_request_ptr& request);
 
-// The request of a handle, or nullptr when it has ended or never was.
+// The request of a handle; nullptr when the request has ended or the handle is
+// unknown.
 [[nodiscard]] running_request_ptr
 find_running(call_handles& handles, std::string_view handle);
 
-// Ties a child call to its parent: cancelled with it, at once if it has ended.
+// Registers a child call, which is cancelled when its parent ends, or at once
+// if the parent has ended.
 void add_child(running_request& parent, const exchange_ptr& child);
 
 } // namespace cyclamenhold
--- a/src/adapters/call_wakeups.hpp
+++ b/src/adapters/call_wakeups.hpp
@@ -1,5 +1,5 @@
-// Wakes calls that wait for the control thread: for a token or for a claim.
-// Thread-safe.
+// Resumes calls that wait for the control thread to grant a token or to answer
+// a claim request. Thread-safe.
 #pragma once
 
 #include "core/claims/claim.hpp"
@@ -19,9 +19,9 @@
 
 struct call_wakeup
 {
-    // For a wait for a token: whether it came.
+    // For a wait for a token: whether the token was granted.
     bool admitted = false;
-    // For a question about a claim.
+    // For a claim request.
     claim_answer answer;
 };
 
@@ -32,20 +32,20 @@
 {
     std::mutex mutex;
     std::unordered_map<std::uint64_t, std::shared_ptr<wakeup_channel>> waiting;
-    // Came before the call began to wait.
+    // Wakeups that arrived before their call began to wait.
     std::unordered_map<std::uint64_t, call_wakeup> early;
 };
 
-// Hands a wakeup to a call, now or when it begins to wait.
+// Delivers a wakeup to a call, now or when it begins to wait.
 void wake_call(
     call_wakeups& wakeups, std::uint64_t call, const call_wakeup& wakeup);
 
-// The call's channel; a wakeup that came early is already in it.
+// Returns the call's channel, which already holds a wakeup that arrived early.
 [[nodiscard]] std::shared_ptr<wakeup_channel> begin_wait(
     call_wakeups& wakeups, std::uint64_t call,
     const asio::any_io_executor& executor);
 
-// The call no longer waits.
+// Ends the wait of a call and drops a wakeup that was not received.
 void end_wait(call_wakeups& wakeups, std::uint64_t call);
 
 } // namespace cyclamenhold
--- a/src/adapters/caller_session.cpp
+++ b/src/adapters/caller_session.cpp
@@ -29,14 +29,15 @@
 
 void record_bad_input(caller_connection& caller, std::string detail)
 {
-    event seen;
-    seen.kind = event_kind::bad_input;
-    seen.detail = std::move(detail);
-    caller.thread.services.record(seen);
+    event recorded;
+    recorded.kind = event_kind::bad_input;
+    recorded.detail = std::move(detail);
+    caller.thread.services.record(recorded);
 }
 
-// Reads the next request's head. None when the connection is over, be it that
-// the caller closed it, was too slow or sent no HTTP, which is answered first.
+// Reads the next request's head. False when the connection ends: the caller
+// closed it, was too slow, or sent malformed HTTP, for which a refusal is
+// written first.
 asio::awaitable<bool> read_head(caller_ptr caller)
 {
     const http_limits& limits = caller->thread.services.limits;
@@ -47,7 +48,7 @@
     caller->body_complete = false;
     if (caller->buffer.size() == 0)
     {
-        // The header's time begins with its first byte.
+        // The header timeout starts at the header's first byte.
         caller->stream.expires_after(limits.idle_timeout);
         caller->thread.idle.insert(caller);
         const auto [error, count] = co_await caller->stream.async_read_some(
@@ -97,7 +98,7 @@
     co_return !error;
 }
 
-// Reads the body up to max_chunk_bytes.
+// Reads the body into the prefix, at most max_chunk_bytes of it.
 asio::awaitable<bool> read_prefix(caller_ptr caller)
 {
     const bool expected = co_await answer_expectation(caller);
@@ -107,16 +108,17 @@
     }
     auto& parser = *caller->parser;
     auto& body = parser.get().body();
-    // As much as is announced, or a little more than has come so far.
+    // The first read has room for the declared length, or default_read_bytes
+    // without one; later reads double the room.
     constexpr std::size_t default_read_bytes = 4 * 1024;
-    const std::size_t announced = std::min<std::uint64_t>(
+    const std::size_t declared_bytes = std::min<std::uint64_t>(
         parser.content_length().value_or(default_read_bytes), max_chunk_bytes);
-    caller->prefix.reserve(announced);
+    caller->prefix.reserve(declared_bytes);
     while (!parser.is_done() && caller->prefix.size() < max_chunk_bytes)
     {
         const std::size_t filled = caller->prefix.size();
         const std::size_t room =
-            std::min(max_chunk_bytes, std::max(announced + 1, 2 * filled));
+            std::min(max_chunk_bytes, std::max(declared_bytes + 1, 2 * filled));
         caller->prefix.resize(room);
         body.data = caller->prefix.data() + filled;
         body.size = room - filled;
@@ -161,7 +163,8 @@
     return std::chrono::milliseconds(value);
 }
 
-// The call that a parsed request asks for; nullopt for malformed fields.
+// Converts a parsed request to a call request; nullopt when a field is
+// malformed.
 std::optional<call_request> request_of(const caller_connection& caller)
 {
     const auto& message = caller.parser->get();
@@ -223,7 +226,8 @@
     co_await write_json(caller, 201, ticket_json(ticket));
 }
 
-// The parent of a child call, from the handle that the upstream was given.
+// Finds the parent of a child call by the handle that the node sent to the
+// upstream.
 running_request_ptr parent_of(const caller_connection& caller)
 {
     const header_names& names = caller.thread.services.profile.headers;
@@ -257,7 +261,7 @@
     auto request = request_of(*caller);
     if (!request)
     {
-        record_bad_input(*caller, "a request field is malformed");
+        record_bad_input(*caller, "invalid target, timeout or idempotency key");
         co_await write_refusal(
             caller, refusal::bad_request, outcome::not_run, {}, {});
         co_return;
--- a/src/adapters/caller_session.hpp
+++ b/src/adapters/caller_session.hpp
@@ -1,6 +1,6 @@
-// Callers' connections: HTTP/1.1 with keep-alive, limits and timeouts. The same
-// session serves the loopback port on which the local upstream announces itself
-// and makes its child calls.
+// Sessions on callers' connections: HTTP/1.1 with keep-alive, limits and
+// timeouts. The same session serves the loopback port on which the local
+// upstream sends its announcements and child calls.
 #pragma once
 
 #include "adapters/call_driver.hpp"
@@ -17,7 +17,7 @@
     upstream
 };
 
-// What sessions on the upstream's port ask of the node.
+// Functions of the node that sessions on the upstream's port call.
 struct upstream_port
 {
     std::function<void(const upstream_announcement&)> announce;
--- a/src/adapters/crash_detector.cpp
+++ b/src/adapters/crash_detector.cpp
@@ -12,7 +12,8 @@
 
 namespace asio = boost::asio;
 
-// The digests that count, each once; forgets them.
+// Returns each digest recorded within crash_window once, and clears the
+// records.
 std::vector<std::uint64_t>
 take_recent_digests(crash_detector& detector, time_point now)
 {
--- a/src/adapters/crash_detector.hpp
+++ b/src/adapters/crash_detector.hpp
@@ -1,5 +1,5 @@
-// Notices the death of the local upstream from what its requests see, sooner
-// than its silence would show it, and names the requests that were in flight.
+// Detects a crash of the local upstream from broken connections, sooner than
+// from missing announcements, and reports the requests that were in flight.
 #pragma once
 
 #include "core/base/time.hpp"
@@ -16,8 +16,8 @@
 namespace cyclamenhold
 {
 
-// Requests whose connections broke so shortly before a death were in flight
-// when it came.
+// Requests whose connections broke within 1 s before a crash is detected are
+// considered to have been in flight when it happened.
 constexpr auto crash_window = std::chrono::milliseconds(1'000);
 constexpr auto crash_probe_timeout = std::chrono::milliseconds(300);
 
@@ -35,10 +35,11 @@
     bool probing = false;
 };
 
-// A connection to the upstream broke before a reply was whole, or could not be
-// made; `digest` is of the request that had reached the upstream. Probes the
-// upstream unless a probe is under way; `on_crash` gets the digests of all
-// requests that broke within crash_window when it accepts no connection.
+// Records that a connection to the upstream broke before the reply was
+// complete, or could not be made; `digest` is that of the request, if it had
+// reached the upstream. Probes the upstream's port unless a probe is in
+// progress. If the port refuses the connection, calls `on_crash` with the
+// digests of all requests that broke within crash_window.
 void record_broken_request(
     crash_detector& detector, const boost::asio::any_io_executor& executor,
     const boost::asio::ip::tcp::endpoint& upstream,
--- a/src/adapters/exchange.hpp
+++ b/src/adapters/exchange.hpp
@@ -1,6 +1,6 @@
-// One attempt at a request, between the side that has the caller's connection
-// and the side that reaches the upstream; the two may be on different threads,
-// or, with a peer link in between, on different hosts.
+// One attempt at a request: channels between the side that holds the caller's
+// connection and the side that sends to the upstream. The two may be on
+// different threads or, connected by a peer link, on different hosts.
 #pragma once
 
 #include "core/base/request_context.hpp"
@@ -22,24 +22,24 @@
 
 namespace asio = boost::asio;
 
-// The largest piece of a body that is moved at once, and the most that is sent
-// before the upstream's node says that the request has started. A request body
-// that fits can be sent again to another upstream.
+// The largest piece of a body that is forwarded at once, and the most that is
+// sent before the upstream's node reports that the request has started. A
+// request body of at most this size can be sent again to another upstream.
 constexpr std::size_t max_chunk_bytes = 64 * 1024;
 
-// A piece of the request's body. The body is whole when `last` was seen; a
-// channel that closes before is a body that was cut.
+// A piece of the request's body. The body is complete with `last`; a channel
+// that closes before `last` means that the body was truncated.
 struct body_chunk
 {
     std::string bytes;
     bool last = false;
 };
 
-// What comes back. The first event is a start, a head or a failure; `last`
-// ends a whole reply, `failure` ends one that is not whole.
+// A part of the reply. The first event is a start, a head or a failure; `last`
+// ends a complete reply, `failure` an incomplete one.
 struct reply_event
 {
-    // The upstream has been handed the request; more of its body may be sent.
+    // The upstream is receiving the request; more of its body may be sent.
     bool started = false;
     std::optional<reply_head> head;
     std::string bytes;
@@ -54,9 +54,9 @@
 using reply_channel = asio::experimental::concurrent_channel<void(
     boost::system::error_code, reply_event)>;
 
-// Chunks held for a slow reader when the writer waits for room.
+// Chunks queued for a slow reader before the writer has to wait.
 constexpr std::size_t waiting_chunk_capacity = 4;
-// For channels fed by a peer link, which bounds them by bytes of credit.
+// For channels fed by a peer link, which limits them by its credit in bytes.
 constexpr std::size_t credited_chunk_capacity = 1 << 16;
 
 struct exchange
@@ -70,25 +70,27 @@
 
     request_context context;
     request_head head;
-    // The incarnation of the host the request is meant for.
+    // The incarnation of the host to which the request is addressed.
     incarnation target_incarnation = 0;
     body_channel body;
     reply_channel reply;
-    // Called by the reader of a channel that a peer link feeds.
+    // Called by the reader of a channel that a peer link feeds, with the number
+    // of bytes consumed.
     std::function<void(std::size_t)> on_body_consumed;
     std::function<void(std::size_t)> on_reply_consumed;
-    // No byte has been handed to an upstream connection yet.
+    // No byte has been sent on an upstream connection yet.
     std::atomic<bool> unsent{true};
     std::atomic<bool> cancelled{false};
 
     std::mutex mutex;
-    // Set by the side that runs the request; stops its work. Guarded by mutex.
+    // Set by the side that runs the request; stops that side. Guarded by mutex.
     std::function<void()> abort;
 };
 
 using exchange_ptr = std::shared_ptr<exchange>;
 
-// Sets what stops the running side; called at once if already cancelled.
+// Sets the function that stops the running side; calls it at once if the
+// exchange is already cancelled.
 inline void set_abort(exchange& exchange, std::function<void()> abort)
 {
     {
@@ -105,7 +107,8 @@
     }
 }
 
-// The caller's side has gone: both channels close and the running side stops.
+// Cancels the exchange from the caller's side: closes both channels and stops
+// the running side. Later calls have no effect.
 inline void cancel(exchange& exchange)
 {
     std::function<void()> abort;
@@ -126,8 +129,9 @@
     }
 }
 
-// Ends the exchange with a failure. Does not wait; the channel keeps room for
-// it since a failure comes first or after the reader has drained the rest.
+// Ends the exchange with a failure. Does not wait: the channel has room,
+// because a failure is the first event or follows events that the reader has
+// consumed. A channel without room is closed.
 inline void fail(
     exchange& exchange, const stream_failure& failure,
     const std::optional<load_report>& load = std::nullopt,
--- a/src/adapters/http_client.cpp
+++ b/src/adapters/http_client.cpp
@@ -39,7 +39,8 @@
 using connection_pointer = std::unique_ptr<http_connection>;
 using body_parser = http::response_parser<http::buffer_body>;
 
-// An idle connection on which something can be read was closed by the server.
+// False when something can be read from an idle connection: the server has
+// closed it.
 bool is_usable(http_connection& connection)
 {
     auto& socket = connection.stream.socket();
@@ -127,7 +128,7 @@
     }
 };
 
-// Reads head and body; the error is empty when the reply is whole.
+// Reads head and body; the error is empty when the reply is complete.
 asio::awaitable<beast::error_code> read_reply(
     http_connection& connection, body_parser& parser, http_result& result)
 {
--- a/src/adapters/http_client.hpp
+++ b/src/adapters/http_client.hpp
@@ -34,14 +34,14 @@
     duration timeout = 2s;
 };
 
-// How far a call got.
+// The result of a call.
 enum class http_call_status : std::uint8_t
 {
-    // A whole reply arrived.
+    // A complete reply arrived.
     answered,
     // No connection was free or could be made in time; nothing was sent.
     not_sent,
-    // The reply was cut, or none came before the connection closed.
+    // The reply was truncated, or the connection closed before one arrived.
     broken,
     timed_out
 };
@@ -54,7 +54,7 @@
     // At most `max_kept_body_bytes` bytes of the body.
     std::string body;
     std::uint64_t body_bytes = 0;
-    // XXH3 of the whole body.
+    // The XXH3 hash of the whole body.
     std::uint64_t body_hash = 0;
 };
 
@@ -82,7 +82,7 @@
 [[nodiscard]] boost::asio::awaitable<http_result>
 http_send(http_pool& pool, http_call call);
 
-// A checksum as it stands in headers: 16 hexadecimal digits.
+// Formats a checksum as it is sent in headers: 16 hexadecimal digits.
 [[nodiscard]] std::string checksum_text(std::uint64_t hash);
 
 // The value of the first header with this name in any case, or "".
--- a/src/adapters/http_fields.cpp
+++ b/src/adapters/http_fields.cpp
@@ -40,7 +40,7 @@
     return std::ranges::find(names, name) != names.end();
 }
 
-// Named in the message's Connection field.
+// True for a field that the message's Connection field names.
 bool is_connection_option(const http::fields& fields, std::string_view name)
 {
     const auto options = fields[http::field::connection];
@@ -59,7 +59,8 @@
                {system_prefix.data(), system_prefix.size()});
 }
 
-// What the caller says in such a field is replaced or dropped.
+// True for a field that only a node sets; a caller's value is replaced or
+// dropped.
 bool is_set_by_node(const header_names& names, std::string_view name)
 {
     const std::array<std::string_view, 6> set_here{
--- a/src/adapters/http_fields.hpp
+++ b/src/adapters/http_fields.hpp
@@ -1,4 +1,4 @@
-// Which header fields pass through a node, and which it adds.
+// Selects the header fields of requests and replies that a node forwards.
 #pragma once
 
 #include "ports/protocol_profile.hpp"
@@ -13,10 +13,9 @@
 
 inline constexpr std::string_view idempotency_field = "Idempotency-Key";
 
-// The fields of a caller's request that travel to the upstream: no credential,
-// no hop-by-hop field, none of this system's own, and none whose value holds
-// `key`, in whatever field the caller put it. Fields that only the system may
-// set are left out too.
+// The fields of a caller's request that are forwarded to the upstream. Excluded
+// are credentials, hop-by-hop fields, fields of this system, fields that only a
+// node sets, and any field whose value contains `key`.
 [[nodiscard]] header_fields forwarded_fields(
     const boost::beast::http::fields& fields, const header_names& names,
     std::string_view key);
@@ -25,11 +24,12 @@
 [[nodiscard]] std::string_view
 field_value(const boost::beast::http::fields& fields, const std::string& name);
 
-// The value of a kept field with this name, in any case.
+// The value of the field with this name, in any case; empty without one or
+// without a name.
 [[nodiscard]] std::string_view
 field_value(const header_fields& fields, std::string_view name);
 
-// The fields of an upstream's reply that travel to the caller.
+// The fields of an upstream's reply that are returned to the caller.
 [[nodiscard]] header_fields
 returned_fields(const boost::beast::http::fields& fields);
 
--- a/src/adapters/local_gate.cpp
+++ b/src/adapters/local_gate.cpp
@@ -14,14 +14,14 @@
 void record(
     local_gate& gate, event_kind kind, const exchange& work, std::string detail)
 {
-    event seen;
-    seen.kind = kind;
-    seen.trace = work.context.trace;
-    seen.workspace = work.context.workspace;
-    seen.request_id = field_value(
+    event recorded;
+    recorded.kind = kind;
+    recorded.trace = work.context.trace;
+    recorded.workspace = work.context.workspace;
+    recorded.request_id = field_value(
         work.head.headers, gate.services.profile.headers.request_id);
-    seen.detail = std::move(detail);
-    gate.services.record(seen);
+    recorded.detail = std::move(detail);
+    gate.services.record(recorded);
 }
 
 void apply_decisions(local_gate& gate, const gate_decisions& decisions);
@@ -32,8 +32,8 @@
     return is_suspect(*view, digest);
 }
 
-// Looks for the upstream's death behind a failure, and clears a suspect that
-// ended well.
+// Checks after a failure whether the upstream has crashed, and reports a
+// suspect request that succeeded.
 void record_request_end(
     local_gate& gate, const exchange& work,
     const asio::ip::tcp::endpoint& endpoint,
@@ -52,7 +52,7 @@
     }
 }
 
-// Carries one started request to the upstream and settles it with the gate.
+// Sends one started request to the upstream and records its result at the gate.
 asio::awaitable<void> run_started(
     local_gate* gate, exchange_ptr work, gate_entry_id entry_id,
     upstream_connection_ptr connection)
--- a/src/adapters/local_gate.hpp
+++ b/src/adapters/local_gate.hpp
@@ -1,5 +1,6 @@
-// The gate's front in the real node: requests for the local upstream from any
-// thread pass the gate, run over a pooled connection and report their end.
+// The upstream gate of a running node. Requests for the local upstream, from
+// any thread, pass the gate and run over a pooled connection; their results are
+// recorded at the gate.
 #pragma once
 
 #include "adapters/call_handles.hpp"
@@ -34,29 +35,30 @@
     // Requests that are running now.
     std::atomic<std::uint32_t> running{0};
     crash_detector crashes;
-    // Tells the control thread of a death, and of a suspect that ended well.
+    // Report to the control thread a crash of the upstream, with the digests of
+    // the requests in flight, and a suspect request that succeeded.
     std::function<void(const std::vector<std::uint64_t>&)> on_crash;
     std::function<void(std::uint64_t)> on_suspect_success;
-    // Asks the control thread whether a claim may still be used, and calls
-    // back with the answer.
+    // Has the control thread check whether a claim is still valid, and calls
+    // back with the result.
     std::function<void(const claim_grant&, std::function<void(bool)>)>
         check_claim;
 };
 
-// Runs a request: exactly one reply or failure comes through the exchange.
+// Runs a request; its exchange receives exactly one reply or failure.
 void run_at_gate(local_gate& gate, const exchange_ptr& work);
 
-// Takes a change of the local upstream.
+// Applies a change of the local upstream's record or address.
 void set_upstream(
     local_gate& gate, const upstream_record& record,
     const upstream_address& address);
 
-// Drops expired work; called about every 10 ms.
+// Drops expired requests; called about every 10 ms.
 void tick_gate(local_gate& gate);
 
 [[nodiscard]] load_report report_of(local_gate& gate);
 
-// Requests that wait or run.
+// The number of requests that are queued or running.
 [[nodiscard]] std::size_t count_requests(local_gate& gate);
 
 } // namespace cyclamenhold
--- a/src/adapters/reply_writer.cpp
+++ b/src/adapters/reply_writer.cpp
@@ -23,7 +23,7 @@
     return caller.thread.services.profile.headers;
 }
 
-// Retry-After in seconds; fractions only where callers read them.
+// Retry-After in seconds, rounded up to a whole number unless `fractional`.
 std::string retry_after_text(duration time, bool fractional)
 {
     if (!fractional)
@@ -95,7 +95,7 @@
     }
 }
 
-// A reply that came whole with its head.
+// Writes a reply whose whole body arrived with its head.
 asio::awaitable<bool>
 write_whole(caller_ptr caller, reply_event& event, trace_id trace)
 {
@@ -142,7 +142,8 @@
     }
 }
 
-// A reply that is longer than its first piece. Returns whether it ended whole.
+// Writes a reply of several pieces. False when the reply was truncated or the
+// caller could not be written to.
 asio::awaitable<bool> write_streamed(
     caller_ptr caller, exchange_ptr work, reply_event event, trace_id trace,
     delivered_reply& delivered)
@@ -182,7 +183,8 @@
     }
 }
 
-// The next event of a reply whose head came without its body's first bytes.
+// Receives the next piece of a reply and appends it to `first`. False when the
+// reply was truncated.
 asio::awaitable<bool> append_next_piece(exchange_ptr work, reply_event& first)
 {
     auto [error, next] =
@@ -251,7 +253,7 @@
     response.result(http_status_of(reason, result));
     if (!caller->body_complete)
     {
-        // The rest of the request is not read, so nothing can follow it.
+        // The rest of the request is not read, so no request can follow it.
         caller->must_close = true;
     }
     fill_common(response, *caller, trace, result);
--- a/src/adapters/reply_writer.hpp
+++ b/src/adapters/reply_writer.hpp
@@ -1,5 +1,5 @@
-// Answers to callers: whole replies as they stream in, refusals, and small
-// answers of the node itself.
+// Writes replies to callers: streamed replies of upstreams, refusals, and short
+// replies of the node itself.
 #pragma once
 
 #include "adapters/call_driver.hpp"
@@ -11,26 +11,29 @@
 namespace cyclamenhold
 {
 
-// What became of a reply on its way to the caller.
+// The result of writing a reply to the caller.
 struct delivered_reply
 {
-    // The caller got all of it.
+    // The whole reply was written.
     bool whole = false;
     std::uint16_t status = 0;
     std::string content_type;
-    // The body, while it is at most max_stored_reply_bytes.
+    // What was written of the body; empty if longer than
+    // max_stored_reply_bytes.
     std::string body;
+    // False when the body is longer than max_stored_reply_bytes.
     bool is_body_stored = true;
 };
 
-// Streams the reply of `work`, whose first event is `first`, to the caller. A
-// reply that is cut closes the connection before its end.
-// Small replies that a peer link delivers in pieces are put together, so that
-// they go to the caller in one write, and one that is cut can still be tried
-// again. False when it was cut.
+// Collects into `first` the pieces in which a peer link delivers a reply of at
+// most max_chunk_bytes, so that it is written to the caller at once and a
+// truncated one can still be retried. Does nothing for a reply of a greater or
+// unknown length. False when the reply was truncated.
 [[nodiscard]] asio::awaitable<bool>
 gather_small(exchange_ptr work, reply_event& first);
 
+// Streams the reply of `work`, whose first event is `first`, to the caller. If
+// the reply is truncated, closes the caller's connection before its end.
 [[nodiscard]] asio::awaitable<delivered_reply> deliver_reply(
     caller_ptr caller, exchange_ptr work, reply_event first, trace_id trace);
 
@@ -38,7 +41,7 @@
     caller_ptr caller, refusal reason, outcome result, duration retry_after,
     trace_id trace);
 
-// The kept reply of an earlier run of the same request.
+// Writes the stored reply of an earlier run of the same request.
 [[nodiscard]] asio::awaitable<void>
 write_stored(caller_ptr caller, stored_reply reply, trace_id trace);
 
--- a/src/adapters/upstream_client.cpp
+++ b/src/adapters/upstream_client.cpp
@@ -20,8 +20,8 @@
 constexpr std::uint32_t max_reply_header_bytes = 64 * 1024;
 constexpr unsigned http_version_1_1 = 11;
 
-// Replies are read in pieces of this size, which bounds what a slow caller
-// makes a node hold.
+// Replies are read in pieces of 16 KiB, which limits the memory that a slow
+// caller occupies.
 using piece_buffer = std::array<char, 16 * 1024>;
 
 // The failure of an attempt whose request reached the upstream.
@@ -95,7 +95,7 @@
     }
 }
 
-// Sends a request whose body is all there.
+// Sends a request whose whole body is in `chunk`.
 asio::awaitable<beast::error_code>
 send_whole(upstream_call& call, body_chunk& chunk)
 {
@@ -133,7 +133,7 @@
     co_return error;
 }
 
-// Sends a request whose body is still coming.
+// Sends a request whose body is still arriving, starting with `chunk`.
 asio::awaitable<beast::error_code>
 send_streamed(upstream_call& call, body_chunk& chunk)
 {
@@ -227,7 +227,7 @@
     return event;
 }
 
-// A reply without a body: to HEAD, or of a status that has none.
+// True for a reply without a body: one to HEAD, or with a status that has none.
 bool is_bodyless(const upstream_call& call, unsigned status)
 {
     return call.work->head.method == "HEAD" || status == 204 || status == 304;
@@ -250,8 +250,8 @@
     co_return beast::error_code();
 }
 
-// Whether the reply answers another request: a late second answer to an
-// earlier one on this connection.
+// True for a stray reply: a late second reply to an earlier request on this
+// connection.
 bool is_of_other_request(
     const upstream_call& call, const response_parser& parser)
 {
@@ -260,7 +260,8 @@
     return !sent.empty() && field_value(parser.get().base(), name) != sent;
 }
 
-// Reads the head of the request's own reply into `parser`.
+// Reads the head of the reply to this request into `parser`; skips stray
+// replies.
 asio::awaitable<beast::error_code> read_matching_head(
     upstream_call& call, std::unique_ptr<response_parser>& parser)
 {
@@ -289,7 +290,7 @@
     co_return http::error::bad_field;
 }
 
-// The upstream says that it has not run the request.
+// True when the upstream reports that it has not run the request.
 bool is_not_run(const upstream_call& call, const response_parser& parser)
 {
     constexpr unsigned misdirected = 421;
@@ -297,8 +298,8 @@
            !field_value(parser.get().base(), call.names->not_run).empty();
 }
 
-// Passes an upstream's own refusal on as one of its node, which another
-// upstream may make good.
+// Reports an upstream's own refusal as a node refusal, so that the request can
+// be sent to another upstream.
 asio::awaitable<upstream_result>
 forward_upstream_refusal(upstream_call& call, response_parser& parser)
 {
@@ -315,7 +316,8 @@
         !error && keep_alive};
 }
 
-// A reply that claims success without the upstream's signature is not its.
+// True for a 2xx reply without the upstream's signature. It is rejected,
+// because another process may have sent it.
 bool lacks_signature(const upstream_call& call, const response_parser& parser)
 {
     const unsigned status = parser.get().result_int();
@@ -324,7 +326,7 @@
            field_value(parser.get().base(), name).empty();
 }
 
-// Moves the reply to the exchange. The head goes with the first piece.
+// Forwards the reply to the exchange. The head is sent with the first piece.
 asio::awaitable<upstream_result> receive_reply(upstream_call& call)
 {
     std::unique_ptr<response_parser> parser;
@@ -368,8 +370,8 @@
         const bool last = event.last;
         if (last)
         {
-            // From here on the connection may serve another request, which a
-            // late cancellation of this one must not close.
+            // From here on the connection may serve another request, so a late
+            // cancellation of this one must not close it.
             set_abort(*call.work, nullptr);
         }
         const auto [closed] = co_await call.work->reply.async_send(
--- a/src/adapters/upstream_client.hpp
+++ b/src/adapters/upstream_client.hpp
@@ -1,5 +1,5 @@
-// One request to the local upstream over HTTP/1.1: from an exchange's head and
-// body to its reply.
+// Sends the request of an exchange to the local upstream over HTTP/1.1 and
+// forwards the reply to the exchange.
 #pragma once
 
 #include "adapters/exchange.hpp"
@@ -20,28 +20,30 @@
     exchange_ptr work;
     upstream_connection_ptr connection;
     asio::ip::tcp::endpoint endpoint;
-    // The opaque value for the upstream's child calls.
+    // The opaque handle that the upstream sends back with its child calls.
     std::string handle;
     std::chrono::milliseconds body_stall_timeout{10'000};
     const header_names* names = nullptr;
-    // Names the upstream's process, where its replies tell.
+    // Identifies the upstream's process; sent if the profile names a header for
+    // it.
     std::string upstream_id;
-    // The gate's report, asked for when the head of the reply is there.
+    // Returns the gate's load report; called when the reply's head has arrived
+    // or the call has failed.
     std::function<load_report()> report;
-    // What the child calls left of the retry allowance.
+    // Returns what the child calls have not used of the retry allowance.
     std::function<std::uint16_t()> returned_allowance;
 };
 
 struct upstream_result
 {
     gate_result result = gate_result::failed;
-    // The connection broke after the request had been sent.
+    // The connection broke after sending of the request began.
     bool broke = false;
     // The connection can carry another request.
     bool reusable = false;
 };
 
-// Runs on the connection's executor. Ends the exchange in every case.
+// Runs on the connection's executor. Always ends the exchange.
 [[nodiscard]] asio::awaitable<upstream_result>
 call_upstream(upstream_call call);
 
--- a/src/adapters/upstream_monitor.cpp
+++ b/src/adapters/upstream_monitor.cpp
@@ -30,7 +30,8 @@
            monitor.record.service == announcement.record.service;
 }
 
-// Said by an earlier process, or by this one before what is already known.
+// True for an announcement of an earlier process, or of this process but not
+// newer than the last one received.
 bool is_outdated(
     const upstream_monitor& monitor, const upstream_announcement& announcement)
 {
@@ -133,7 +134,7 @@
     {
         return std::nullopt;
     }
-    // A draining upstream finishes its work without announcing itself.
+    // A draining upstream finishes its requests without further announcements.
     if (monitor.record.state != upstream_state::draining &&
         now - monitor.announced_at > announcement_timeout)
     {
--- a/src/adapters/upstream_monitor.hpp
+++ b/src/adapters/upstream_monitor.hpp
@@ -1,5 +1,5 @@
-// Follows what the local upstream says of itself, and its silence. Used from
-// the control thread.
+// Tracks the state of the local upstream from its announcements and detects
+// when they stop. Used from the control thread.
 #pragma once
 
 #include "adapters/caller_session.hpp"
@@ -10,22 +10,23 @@
 namespace cyclamenhold
 {
 
-// An upstream that has not repeated its announcement for so long is gone: eight
-// of the platform's intervals, for announcements may be seconds late and a
-// crash shows in refused connections at once.
+// An upstream without an announcement for 12 s is considered absent. These are
+// eight intervals of the platform, because announcements may be seconds late; a
+// crash is detected at once from refused connections.
 constexpr auto announcement_timeout = std::chrono::milliseconds(12'000);
 
 struct upstream_monitor
 {
     upstream_record record;
     asio::ip::tcp::endpoint endpoint;
-    // The process that the record is about, as it names itself.
+    // The id that the announced process has reported for itself.
     std::string id;
     std::uint64_t started_ms = 0;
     std::uint64_t sequence = 0;
-    // It said that it is gone; its late announcements are not believed.
+    // The process has announced its departure; its late announcements are
+    // ignored.
     bool has_left = false;
-    // Tells one upstream process from the next; grows with each.
+    // Identifies the upstream process; incremented for each new one.
     std::uint64_t incarnation = 0;
     time_point announced_at{};
     time_point warm_until{};
@@ -33,7 +34,7 @@
 
 [[nodiscard]] asio::ip::tcp::endpoint endpoint_of(const ip_endpoint& endpoint);
 
-// Each returns the record to spread when it has changed.
+// Each returns the record to advertise if it has changed.
 [[nodiscard]] std::optional<upstream_record> on_announcement(
     upstream_monitor& monitor, const upstream_announcement& announcement,
     time_point now);
--- a/src/adapters/upstream_pool.cpp
+++ b/src/adapters/upstream_pool.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-// An idle connection on which anything can be read has been closed, or holds
-// bytes that answer no request.
+// False when anything can be read from an idle connection: it has been closed,
+// or has received bytes that belong to no request.
 bool is_reusable(upstream_connection& connection)
 {
     char byte = 0;
@@ -19,8 +19,8 @@
     return count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-// The newest idle connection of this thread, or else of any: a request that
-// stays on its thread is spared two wake-ups.
+// Takes the newest idle connection of this thread, or else of any thread. A
+// request that stays on its thread saves two thread wake-ups.
 upstream_connection_ptr
 take_idle(upstream_pool& pool, const asio::any_io_executor& executor)
 {
--- a/src/adapters/upstream_pool.hpp
+++ b/src/adapters/upstream_pool.hpp
@@ -26,9 +26,10 @@
 
     boost::beast::tcp_stream stream;
     boost::beast::flat_buffer buffer;
-    // The announcement it belongs to; older ones are not used again.
+    // The pool's generation at which it was opened; connections of older
+    // generations are not reused.
     std::uint64_t generation = 0;
-    // Has brought a reply to a request that was over.
+    // Has received a reply to an earlier request.
     bool had_stray_reply = false;
     // Has carried a request before.
     bool used = false;
@@ -36,7 +37,7 @@
 
 using upstream_connection_ptr = std::shared_ptr<upstream_connection>;
 
-// Where the upstream listens, and which process of it.
+// The endpoint of the upstream and the process that listens there.
 struct upstream_address
 {
     asio::ip::tcp::endpoint endpoint;
@@ -55,14 +56,15 @@
     std::vector<upstream_connection_ptr> idle;
 };
 
-// Points the pool at an upstream; connections to another one are dropped.
+// Sets the upstream's address. If it has changed, drops the idle connections.
 void set_address(upstream_pool& pool, const upstream_address& address);
 
-// An idle connection that looks alive, or a new unconnected one on `executor`.
+// Takes an idle connection that is still open, or makes an unconnected one on
+// `executor`.
 [[nodiscard]] upstream_connection_ptr
 take_connection(upstream_pool& pool, const asio::any_io_executor& executor);
 
-// Gives a connection back for reuse.
+// Returns a connection for reuse; drops it if the address has changed since.
 void return_connection(
     upstream_pool& pool, const upstream_connection_ptr& connection);
 
--- a/src/adapters/upstream_requests.cpp
+++ b/src/adapters/upstream_requests.cpp
@@ -41,7 +41,7 @@
     if (value == nullptr || !value->is_string() || value->as_string().empty())
     {
         add_finding(
-            found, '/' + std::string(name), "must be a text that is not empty");
+            found, '/' + std::string(name), "must be a non-empty string");
         return {};
     }
     return std::string(value->as_string());
@@ -123,10 +123,10 @@
             method, target, caller->prefix);
     if (const auto* found = std::get_if<findings>(&upstream_message))
     {
-        event seen;
-        seen.kind = event_kind::bad_input;
-        seen.detail = "announcement: " + to_string(*found);
-        caller->thread.services.record(seen);
+        event recorded;
+        recorded.kind = event_kind::bad_input;
+        recorded.detail = "invalid upstream message: " + to_string(*found);
+        caller->thread.services.record(recorded);
         co_await write_json(caller, 400, findings_json(*found));
         co_return;
     }
--- a/src/adapters/upstream_requests.hpp
+++ b/src/adapters/upstream_requests.hpp
@@ -1,4 +1,4 @@
-// The requests by which the local upstream tells its node about itself.
+// Requests by which the local upstream announces its state to its node.
 #pragma once
 
 #include "adapters/caller_session.hpp"
@@ -18,11 +18,12 @@
 // True for a target that belongs to the node and not to a route.
 [[nodiscard]] bool is_upstream_request(std::string_view target);
 
-// Answers a request on the upstream's port in the dialect's spelling.
+// Answers a request on the upstream's port in the protocol profile's encoding.
 [[nodiscard]] asio::awaitable<void>
 serve_upstream_message(caller_ptr caller, upstream_port* port);
 
-// Answers such a request, whose body is the caller's prefix.
+// Answers a request for which is_upstream_request is true; its body is the
+// caller's prefix.
 [[nodiscard]] asio::awaitable<void>
 serve_upstream_request(caller_ptr caller, upstream_port* port);
 
