--- a/src/adapters/http_fields.cpp
+++ b/src/adapters/http_fields.cpp
@@ -14,7 +14,7 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-constexpr std::string_view own_prefix = "cyclamen-";
+constexpr std::string_view system_prefix = "cyclamen-";
 
 std::string_view view_of(beast::string_view text)
 {
@@ -40,7 +40,7 @@
     return std::ranges::find(names, name) != names.end();
 }
 
-// Named in the message's Connection field.
+// True for a field that the message's Connection field names.
 bool is_connection_option(const http::fields& fields, std::string_view name)
 {
     const auto options = fields[http::field::connection];
@@ -51,15 +51,16 @@
     return http::token_list(options).exists({name.data(), name.size()});
 }
 
-bool is_own(std::string_view name)
+bool is_system_field(std::string_view name)
 {
-    return name.size() >= own_prefix.size() &&
+    return name.size() >= system_prefix.size() &&
            beast::iequals(
-               {name.data(), own_prefix.size()},
-               {own_prefix.data(), own_prefix.size()});
+               {name.data(), system_prefix.size()},
+               {system_prefix.data(), system_prefix.size()});
 }
 
-// What the caller says in such a field is replaced or dropped.
+// True for a field that only a node sets; a caller's value is replaced or
+// dropped.
 bool is_set_by_node(const header_names& names, std::string_view name)
 {
     const std::array<std::string_view, 6> set_here{
@@ -81,7 +82,7 @@
     {
         const auto name = view_of(field.name_string());
         const auto value = view_of(field.value());
-        if (is_hop_by_hop(field.name()) || is_own(name) ||
+        if (is_hop_by_hop(field.name()) || is_system_field(name) ||
             is_connection_option(fields, name) || drop(value))
         {
             continue;
--- a/src/adapters/reply_writer.cpp
+++ b/src/adapters/reply_writer.cpp
@@ -23,7 +23,7 @@
     return caller.thread.services.profile.headers;
 }
 
-// Retry-After in seconds; fractions only where callers read them.
+// Retry-After in seconds, rounded up to a whole number unless `fractional`.
 std::string retry_after_text(duration time, bool fractional)
 {
     if (!fractional)
@@ -36,7 +36,7 @@
     return text.data();
 }
 
-bool keeps_alive(const caller_connection& caller)
+bool is_keep_alive(const caller_connection& caller)
 {
     return !caller.must_close && caller.body_complete && caller.parser &&
            caller.parser->get().keep_alive() &&
@@ -49,7 +49,7 @@
     outcome result)
 {
     response.version(http_version_1_1);
-    response.keep_alive(keeps_alive(caller));
+    response.keep_alive(is_keep_alive(caller));
     const header_names& names = names_of(caller);
     response.set(names.trace, to_string(trace));
     response.set(names.outcome, std::string(name_of(result)));
@@ -82,20 +82,20 @@
     co_return !error;
 }
 
-void keep(delivered_reply& delivered, std::string_view bytes)
+void store_body_bytes(delivered_reply& delivered, std::string_view bytes)
 {
     if (delivered.body.size() + bytes.size() > max_stored_reply_bytes)
     {
-        delivered.body_held = false;
+        delivered.is_body_stored = false;
         delivered.body.clear();
     }
-    if (delivered.body_held)
+    if (delivered.is_body_stored)
     {
         delivered.body += bytes;
     }
 }
 
-// A reply that came whole with its head.
+// Writes a reply whose whole body arrived with its head.
 asio::awaitable<bool>
 write_whole(caller_ptr caller, reply_event& event, trace_id trace)
 {
@@ -134,7 +134,7 @@
     co_return !error || error == http::error::need_buffer;
 }
 
-void consumed_reply(const exchange& work, std::size_t bytes)
+void report_consumed_reply(const exchange& work, std::size_t bytes)
 {
     if (work.on_reply_consumed && bytes > 0)
     {
@@ -142,7 +142,8 @@
     }
 }
 
-// A reply that is longer than its first piece. Returns whether it ended whole.
+// Writes a reply of several pieces. False when the reply was truncated or the
+// caller could not be written to.
 asio::awaitable<bool> write_streamed(
     caller_ptr caller, exchange_ptr work, reply_event event, trace_id trace,
     delivered_reply& delivered)
@@ -166,8 +167,8 @@
         {
             co_return false;
         }
-        keep(delivered, event.bytes);
-        consumed_reply(*work, event.bytes.size());
+        store_body_bytes(delivered, event.bytes);
+        report_consumed_reply(*work, event.bytes.size());
         if (event.last)
         {
             co_return true;
@@ -182,8 +183,9 @@
     }
 }
 
-// The next event of a reply whose head came without its body's first bytes.
-asio::awaitable<bool> join_first_piece(exchange_ptr work, reply_event& first)
+// Receives the next piece of a reply and appends it to `first`. False when the
+// reply was truncated.
+asio::awaitable<bool> append_next_piece(exchange_ptr work, reply_event& first)
 {
     auto [error, next] =
         co_await work->reply.async_receive(asio::as_tuple(asio::use_awaitable));
@@ -204,8 +206,8 @@
     const bool small = size && *size <= max_chunk_bytes;
     while (small && !first.last)
     {
-        const bool joined = co_await join_first_piece(work, first);
-        if (!joined)
+        const bool appended = co_await append_next_piece(work, first);
+        if (!appended)
         {
             co_return false;
         }
@@ -227,10 +229,10 @@
     }
     if (first.last)
     {
-        keep(delivered, first.bytes);
+        store_body_bytes(delivered, first.bytes);
         const std::size_t size = first.bytes.size();
         delivered.whole = co_await write_whole(caller, first, trace);
-        consumed_reply(*work, size);
+        report_consumed_reply(*work, size);
         co_return delivered;
     }
     delivered.whole = co_await write_streamed(
@@ -251,7 +253,7 @@
     response.result(http_status_of(reason, result));
     if (!caller->body_complete)
     {
-        // The rest of the request is not read, so nothing can follow it.
+        // The rest of the request is not read, so no request can follow it.
         caller->must_close = true;
     }
     fill_common(response, *caller, trace, result);
@@ -297,7 +299,7 @@
 {
     http::response<http::string_body> response;
     response.version(http_version_1_1);
-    response.keep_alive(keeps_alive(*caller));
+    response.keep_alive(is_keep_alive(*caller));
     response.result(status);
     response.set(http::field::content_type, "application/json");
     response.body() = boost::json::serialize(body) + '\n';
--- a/src/adapters/upstream_monitor.cpp
+++ b/src/adapters/upstream_monitor.cpp
@@ -30,7 +30,8 @@
            monitor.record.service == announcement.record.service;
 }
 
-// Said by an earlier process, or by this one before what is already known.
+// True for an announcement of an earlier process, or of this process but not
+// newer than the last one received.
 bool is_outdated(
     const upstream_monitor& monitor, const upstream_announcement& announcement)
 {
@@ -46,7 +47,7 @@
            (monitor.has_left || announcement.sequence <= monitor.sequence);
 }
 
-void start_life(
+void start_incarnation(
     upstream_monitor& monitor, const upstream_announcement& announcement,
     time_point now)
 {
@@ -56,7 +57,7 @@
     monitor.id = announcement.id;
     monitor.started_ms = announcement.started_ms;
     monitor.has_left = false;
-    ++monitor.life;
+    ++monitor.incarnation;
     monitor.warm_until = now + announcement.warm_up;
     monitor.record.state = draining ? upstream_state::draining
                            : announcement.warm_up > duration::zero()
@@ -83,7 +84,7 @@
     monitor.announced_at = now;
     if (!is_announced(monitor) || !is_same_process(monitor, announcement))
     {
-        start_life(monitor, announcement, now);
+        start_incarnation(monitor, announcement, now);
         return monitor.record;
     }
     if (announcement.record.state == upstream_state::draining)
@@ -133,7 +134,7 @@
     {
         return std::nullopt;
     }
-    // A draining upstream finishes its work without announcing itself.
+    // A draining upstream finishes its requests without further announcements.
     if (monitor.record.state != upstream_state::draining &&
         now - monitor.announced_at > announcement_timeout)
     {
--- a/src/adapters/upstream_requests.cpp
+++ b/src/adapters/upstream_requests.cpp
@@ -41,7 +41,7 @@
     if (value == nullptr || !value->is_string() || value->as_string().empty())
     {
         add_finding(
-            found, '/' + std::string(name), "must be a text that is not empty");
+            found, '/' + std::string(name), "must be a non-empty string");
         return {};
     }
     return std::string(value->as_string());
@@ -112,27 +112,31 @@
     return announcement;
 }
 
-asio::awaitable<void> serve_notice(caller_ptr caller, upstream_port* port)
+asio::awaitable<void>
+serve_upstream_message(caller_ptr caller, upstream_port* port)
 {
     const auto& request = caller->parser->get();
     const std::string method(request.method_string());
     const std::string target(request.target());
-    const auto notice = caller->thread.services.profile.parse_upstream_message(
-        method, target, caller->prefix);
-    if (const auto* found = std::get_if<findings>(&notice))
-    {
-        event seen;
-        seen.kind = event_kind::bad_input;
-        seen.detail = "announcement: " + to_string(*found);
-        caller->thread.services.record(seen);
+    const auto upstream_message =
+        caller->thread.services.profile.parse_upstream_message(
+            method, target, caller->prefix);
+    if (const auto* found = std::get_if<findings>(&upstream_message))
+    {
+        event recorded;
+        recorded.kind = event_kind::bad_input;
+        recorded.detail = "invalid upstream message: " + to_string(*found);
+        caller->thread.services.record(recorded);
         co_await write_json(caller, 400, findings_json(*found));
         co_return;
     }
-    if (const auto* announced = std::get_if<upstream_announcement>(&notice))
+    if (const auto* announced =
+            std::get_if<upstream_announcement>(&upstream_message))
     {
         port->announce(*announced);
     }
-    else if (const auto* left = std::get_if<upstream_departure>(&notice))
+    else if (
+        const auto* left = std::get_if<upstream_departure>(&upstream_message))
     {
         port->leave(*left);
     }
