--- a/src/adapters/call_driver.cpp
+++ b/src/adapters/call_driver.cpp
@@ -397,7 +397,7 @@
     run.caller = caller;
     run.parent = std::move(parent);
     run.state.id = thread.services.next_call++;
-    if (const auto resumed = noticed_resumption(thread.services.suspensions))
+    if (const auto resumed = detect_resumption(thread.services.suspensions))
     {
         path.resumed_at = resumed->time_since_epoch().count();
         path.keys_fresh_until = 0;
--- a/src/adapters/control_loop.cpp
+++ b/src/adapters/control_loop.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-void carry_out(control_loop& loop, control_actions actions);
+void execute_actions(control_loop& loop, control_actions actions);
 
 // The processor time of this thread.
 std::uint64_t thread_time_us()
@@ -35,14 +35,14 @@
             locations, loop.state.membership.settings.data_centre, *previous));
     }
     loop.services.path.routing.publish(std::move(next));
-    if (loop.retry_slack > 0)
+    if (loop.fleet_retry_slack > 0)
     {
         // Half, since the repeats of calls of repeated requests come on top.
         const double hosts =
             static_cast<double>(loop.state.membership.members.size()) + 1.0;
         set_max_service_tokens(
             loop.services.path.retries,
-            std::max(1.0, loop.retry_slack / 2.0 / hosts));
+            std::max(1.0, loop.fleet_retry_slack / 2.0 / hosts));
     }
 }
 
@@ -58,9 +58,9 @@
 }
 
 // Says until when keys may be trusted without a newer proof.
-void publish_key_trust(control_loop& loop)
+void publish_key_freshness(control_loop& loop)
 {
-    if (loop.key_trust == duration::zero())
+    if (loop.max_key_staleness == duration::zero())
     {
         return;
     }
@@ -69,14 +69,15 @@
     const bool is_older_than_suspension =
         confirmed.time_since_epoch().count() <=
         loop.services.path.resumed_at.load(std::memory_order_relaxed);
-    const time_point until =
-        is_older_than_suspension ? time_point{} : confirmed + loop.key_trust;
+    const time_point until = is_older_than_suspension
+                                 ? time_point{}
+                                 : confirmed + loop.max_key_staleness;
     loop.services.path.keys_fresh_until.store(
         until.time_since_epoch().count(), std::memory_order_relaxed);
     const bool trusted = now() < until;
-    if (trusted != loop.are_keys_trusted)
+    if (trusted != loop.are_keys_fresh)
     {
-        loop.are_keys_trusted = trusted;
+        loop.are_keys_fresh = trusted;
         event seen;
         seen.kind = trusted ? event_kind::platform_available
                             : event_kind::platform_unavailable;
@@ -99,7 +100,7 @@
             build_quarantine_view(loop.state.quarantine)));
 }
 
-void wake_waiting(control_loop& loop)
+void resume_waiting_calls(control_loop& loop)
 {
     const auto results = settle_waiters(loop.services.path.limiter, now());
     for (const token_waiter waiter : results.admitted)
@@ -135,17 +136,17 @@
 
 // Runs one step of the control core and then what follows from it.
 template <class Step>
-void run_step(control_loop& loop, const Step& step)
+void run_control_event(control_loop& loop, const Step& step)
 {
     const std::uint64_t before = thread_time_us();
     control_actions actions;
     step(actions);
-    carry_out(loop, std::move(actions));
+    execute_actions(loop, std::move(actions));
     publish_members(loop);
     publish_configuration(loop);
-    publish_key_trust(loop);
+    publish_key_freshness(loop);
     publish_quarantine(loop);
-    wake_waiting(loop);
+    resume_waiting_calls(loop);
     finish_commits(loop);
     loop.busy_us += thread_time_us() - before;
 }
@@ -161,7 +162,7 @@
                               : event_kind::platform_unavailable;
         loop.services.record(seen);
     }
-    run_step(
+    run_control_event(
         loop,
         [&](control_actions& actions)
         {
@@ -172,7 +173,7 @@
 
 void receive(control_loop& loop, const incoming_message& message)
 {
-    run_step(
+    run_control_event(
         loop,
         [&](control_actions& actions)
         {
@@ -197,7 +198,7 @@
     send_message(loop.links, message);
 }
 
-void carry_out(control_loop& loop, control_actions actions)
+void execute_actions(control_loop& loop, control_actions actions)
 {
     for (const auto& message : actions.messages)
     {
@@ -218,7 +219,7 @@
     }
 }
 
-void spread_upstream(
+void publish_upstream(
     control_loop& loop, const std::optional<upstream_record>& record)
 {
     if (!record)
@@ -236,7 +237,7 @@
                     : event_kind::upstream_announced;
     seen.detail = record->service + ' ' + std::string(name_of(record->state));
     loop.services.record(seen);
-    run_step(
+    run_control_event(
         loop,
         [&](control_actions& actions)
         {
@@ -267,7 +268,7 @@
 
 void tick(control_loop& loop)
 {
-    run_step(
+    run_control_event(
         loop,
         [&](control_actions& actions)
         {
@@ -280,7 +281,7 @@
 {
     if (!loop.leaving)
     {
-        spread_upstream(loop, check_upstream(loop.upstream, now()));
+        publish_upstream(loop, check_upstream(loop.upstream, now()));
     }
     if (control_due(loop.state) <= now())
     {
@@ -288,7 +289,7 @@
     }
     else
     {
-        run_step(loop, [](control_actions&) {});
+        run_control_event(loop, [](control_actions&) {});
     }
     close_idle(loop.links);
     arm_timer(loop);
@@ -333,13 +334,13 @@
     loop.services.path.limiter.on_waiting = [&loop]
     {
         // One prompt at a time is enough for any number of waiting requests.
-        if (!loop.prompted.exchange(true))
+        if (!loop.tick_requested.exchange(true))
         {
             asio::post(
                 loop.io,
                 [&loop]
                 {
-                    loop.prompted = false;
+                    loop.tick_requested = false;
                     tick(loop);
                 });
         }
@@ -351,7 +352,7 @@
         loop.io,
         [&loop, settings]
         {
-            run_step(
+            run_control_event(
                 loop,
                 [&](control_actions& actions)
                 {
@@ -376,13 +377,13 @@
         });
 }
 
-void post_claim_question(control_loop& loop, const claim_request& question)
+void post_claim_request(control_loop& loop, const claim_request& question)
 {
     asio::post(
         loop.io,
         [&loop, question]
         {
-            run_step(
+            run_control_event(
                 loop,
                 [&](control_actions& actions)
                 {
@@ -400,7 +401,7 @@
         loop.io,
         [&loop, completion]
         {
-            run_step(
+            run_control_event(
                 loop,
                 [&](control_actions& actions)
                 {
@@ -411,7 +412,8 @@
         });
 }
 
-void post_ticket(control_loop& loop, std::function<void(std::string)> callback)
+void post_ticket_request(
+    control_loop& loop, std::function<void(std::string)> callback)
 {
     asio::post(
         loop.io,
@@ -443,7 +445,7 @@
         {
             if (!loop.leaving)
             {
-                spread_upstream(
+                publish_upstream(
                     loop, on_announcement(
                               loop.upstream,
                               with_connection_cap(loop, announcement), now()));
@@ -457,11 +459,11 @@
         loop.io,
         [&loop]
         {
-            spread_upstream(loop, on_drain(loop.upstream));
+            publish_upstream(loop, on_drain(loop.upstream));
         });
 }
 
-void post_upstream_death(
+void post_upstream_crash(
     control_loop& loop, const std::vector<std::uint64_t>& digests)
 {
     asio::post(
@@ -470,7 +472,7 @@
         {
             const upstream_incarnation life{
                 loop.services.self, loop.upstream.life};
-            run_step(
+            run_control_event(
                 loop,
                 [&](control_actions& actions)
                 {
@@ -478,7 +480,7 @@
                         loop.state.quarantine, loop.state.membership, life,
                         digests, now(), loop.random, actions);
                 });
-            spread_upstream(loop, on_leave(loop.upstream, {}));
+            publish_upstream(loop, on_leave(loop.upstream, {}));
         });
 }
 
@@ -488,7 +490,7 @@
         loop.io,
         [&loop, digest]
         {
-            run_step(
+            run_control_event(
                 loop,
                 [&](control_actions& actions)
                 {
@@ -506,7 +508,7 @@
         loop.io,
         [&loop, departure]
         {
-            spread_upstream(loop, on_leave(loop.upstream, departure));
+            publish_upstream(loop, on_leave(loop.upstream, departure));
         });
 }
 
@@ -517,7 +519,7 @@
         [&loop]
         {
             loop.leaving = true;
-            run_step(
+            run_control_event(
                 loop,
                 [&](control_actions& actions)
                 {
@@ -533,7 +535,7 @@
 {
     const commit_token token = loop.next_commit++;
     loop.commits.emplace(token, std::move(done));
-    run_step(
+    run_control_event(
         loop,
         [&](control_actions& actions)
         {
--- a/src/adapters/control_loop.hpp
+++ b/src/adapters/control_loop.hpp
@@ -58,14 +58,14 @@
         commits;
     // Keys are trusted for so long after the configuration was last known to
     // be the newest; zero for ever.
-    duration key_trust{};
-    bool are_keys_trusted = true;
+    duration max_key_staleness{};
+    bool are_keys_fresh = true;
     // Repeats that the fleet may save up for a service; zero for no bound.
-    double retry_slack = 0.0;
+    double fleet_retry_slack = 0.0;
     bool platform_reachable = true;
     bool leaving = false;
     // A tick has been asked for because requests wait for tokens.
-    std::atomic<bool> prompted{false};
+    std::atomic<bool> tick_requested{false};
     // Processor time spent here, for the budget of the control side.
     std::atomic<std::uint64_t> busy_us{0};
 };
@@ -80,10 +80,11 @@
 void post_control_message(
     control_loop& loop, host_id from, message_kind kind,
     std::vector<std::uint8_t> payload);
-void post_claim_question(control_loop& loop, const claim_request& question);
+void post_claim_request(control_loop& loop, const claim_request& question);
 void post_claim_completion(
     control_loop& loop, const claim_completion& completion);
-void post_ticket(control_loop& loop, std::function<void(std::string)> callback);
+void post_ticket_request(
+    control_loop& loop, std::function<void(std::string)> callback);
 void post_claim_check(
     control_loop& loop, const claim_grant& grant,
     std::function<void(bool)> callback);
@@ -93,7 +94,7 @@
 void post_upstream_leave(
     control_loop& loop, const upstream_departure& departure);
 // The local upstream died while requests with these digests were in flight.
-void post_upstream_death(
+void post_upstream_crash(
     control_loop& loop, const std::vector<std::uint64_t>& digests);
 // A request under suspicion of killing upstreams ended well.
 void post_suspect_success(control_loop& loop, std::uint64_t digest);
--- a/src/adapters/datagram_port.cpp
+++ b/src/adapters/datagram_port.cpp
@@ -19,8 +19,8 @@
 
 // HMAC-SHA256 cut to 128 bits. The leading text keeps these codes apart from
 // all other uses of the fleet secret.
-authentication_code
-code_of(const std::string& secret, std::span<const std::uint8_t> bytes)
+authentication_code authentication_code_of(
+    const std::string& secret, std::span<const std::uint8_t> bytes)
 {
     static constexpr std::string_view purpose = "cyclamenhold datagram";
     std::vector<std::uint8_t> text(purpose.begin(), purpose.end());
@@ -45,7 +45,7 @@
 
 } // namespace
 
-bool note_sequence(
+bool record_sequence(
     replay_window& window, incarnation sender_incarnation,
     std::uint64_t sequence)
 {
@@ -87,7 +87,7 @@
         payload));
     std::vector<std::uint8_t> bytes(
         fbb.GetBufferPointer(), fbb.GetBufferPointer() + fbb.GetSize());
-    const auto code = code_of(port.fleet_secret, bytes);
+    const auto code = authentication_code_of(port.fleet_secret, bytes);
     bytes.insert(bytes.end(), code.begin(), code.end());
     return bytes;
 }
@@ -100,7 +100,7 @@
         return std::nullopt;
     }
     const auto content = bytes.first(bytes.size() - code_bytes);
-    const auto code = code_of(port.fleet_secret, content);
+    const auto code = authentication_code_of(port.fleet_secret, content);
     if (CRYPTO_memcmp(
             code.data(), bytes.data() + content.size(), code.size()) != 0)
     {
@@ -116,8 +116,9 @@
     const auto sender = static_cast<host_id>(opened->sender());
     if (opened->payload() == nullptr ||
         static_cast<host_id>(opened->target()) != port.self ||
-        !note_sequence(
-            port.windows[sender], opened->incarnation(), opened->sequence()))
+        !record_sequence(
+            port.replay_windows[sender], opened->incarnation(),
+            opened->sequence()))
     {
         return std::nullopt;
     }
--- a/src/adapters/datagram_port.hpp
+++ b/src/adapters/datagram_port.hpp
@@ -32,7 +32,7 @@
 
 // True when the number is new; remembers it. Numbers too old to tell and
 // incarnations older than the newest seen are refused.
-[[nodiscard]] bool note_sequence(
+[[nodiscard]] bool record_sequence(
     replay_window& window, incarnation sender_incarnation,
     std::uint64_t sequence);
 
@@ -48,7 +48,7 @@
     host_id self = host_id::none;
     incarnation self_incarnation = 0;
     std::uint64_t next_sequence = 1;
-    std::unordered_map<host_id, replay_window> windows;
+    std::unordered_map<host_id, replay_window> replay_windows;
     std::function<void(const incoming_message&)> on_message;
     // A datagram that is malformed or not of this fleet.
     std::function<void(const char*)> on_rejected;
--- a/src/adapters/node_runtime.cpp
+++ b/src/adapters/node_runtime.cpp
@@ -16,7 +16,7 @@
 
 // How long peers and callers are given to learn of a planned stop before new
 // work is refused.
-constexpr auto leave_notice = std::chrono::milliseconds(1'500);
+constexpr auto leave_propagation_time = std::chrono::milliseconds(1'500);
 constexpr auto stop_poll_interval = std::chrono::milliseconds(50);
 constexpr auto gate_tick_interval = std::chrono::milliseconds(10);
 
@@ -29,13 +29,13 @@
           control(services, gate, wakeups, seed)
     {
         decisions.most_per_second = settings.log.decisions_per_second;
-        control.key_trust = settings.key_trust;
+        control.max_key_staleness = settings.max_key_staleness;
     }
 
     node_settings settings;
     json_log log;
     bound_ports ports;
-    metrics measured;
+    metrics node_metrics;
     std::unique_ptr<shared_event_ring> events;
     node_services services;
     call_wakeups wakeups;
@@ -55,7 +55,7 @@
     std::vector<std::thread> running;
     std::atomic<std::size_t> next_thread{0};
     std::atomic<std::size_t> sessions{0};
-    std::atomic<bool> stop_asked{false};
+    std::atomic<bool> drain_requested{false};
 };
 
 namespace
@@ -136,9 +136,9 @@
 run_session(node_runtime* node, caller_ptr caller, session_settings settings)
 {
     ++node->sessions;
-    change(node->measured, gauge_id::caller_connections, 1);
+    change(node->node_metrics, gauge_id::caller_connections, 1);
     co_await serve_caller(std::move(caller), settings);
-    change(node->measured, gauge_id::caller_connections, -1);
+    change(node->node_metrics, gauge_id::caller_connections, -1);
     --node->sessions;
 }
 
@@ -243,7 +243,7 @@
 }
 
 // Ties the parts to each other by the calls they make across threads.
-void connect_parts(node_runtime& node)
+void connect_callbacks(node_runtime& node)
 {
     node.services.record = [&node](const event& seen)
     {
@@ -254,9 +254,9 @@
     {
         return node.events->stamp_send();
     };
-    node.services.note_receive = [&node](hybrid_time remote)
+    node.services.record_receive = [&node](hybrid_time remote)
     {
-        node.events->note_receive(remote);
+        node.events->record_receive(remote);
     };
     node.services.run_local = [&node](const exchange_ptr& work)
     {
@@ -280,12 +280,12 @@
         seen.peer = peer;
         seen.detail = absl::StrFormat(
             "no beat for %d ms: new requests go elsewhere",
-            heartbeat_avoidance.count());
+            peer_avoidance_timeout.count());
         node.services.record(seen);
     };
     node.control_side.request_claim = [&node](const claim_request& question)
     {
-        post_claim_question(node.control, question);
+        post_claim_request(node.control, question);
     };
     node.control_side.complete_claim =
         [&node](const claim_completion& completion)
@@ -295,7 +295,7 @@
     node.control_side.issue_ticket =
         [&node](std::function<void(std::string)> callback)
     {
-        post_ticket(node.control, std::move(callback));
+        post_ticket_request(node.control, std::move(callback));
     };
     node.gate.check_claim =
         [&node](const claim_grant& grant, std::function<void(bool)> callback)
@@ -304,7 +304,7 @@
     };
     node.gate.on_death = [&node](const std::vector<std::uint64_t>& digests)
     {
-        post_upstream_death(node.control, digests);
+        post_upstream_crash(node.control, digests);
     };
     node.gate.on_suspect_success = [&node](std::uint64_t digest)
     {
@@ -347,16 +347,16 @@
 
 std::string metrics_text(node_runtime& node)
 {
-    measure_memory(node.measured);
+    measure_memory(node.node_metrics);
     const load_report load = report_of(node.gate);
-    set(node.measured, gauge_id::gate_queue, load.queued);
-    set(node.measured, gauge_id::gate_limit, load.limit);
-    set(node.measured, gauge_id::gate_in_flight, load.in_flight);
-    set(node.measured, gauge_id::configuration_revision,
+    set(node.node_metrics, gauge_id::gate_queue, load.queued);
+    set(node.node_metrics, gauge_id::gate_limit, load.limit);
+    set(node.node_metrics, gauge_id::gate_in_flight, load.in_flight);
+    set(node.node_metrics, gauge_id::configuration_revision,
         static_cast<std::int64_t>(node.control.state.chain.current->revision));
-    set(node.measured, gauge_id::platform_reachable,
+    set(node.node_metrics, gauge_id::platform_reachable,
         node.control.platform_reachable ? 1 : 0);
-    return write_prometheus(node.measured);
+    return write_prometheus(node.node_metrics);
 }
 
 // Callers are asked for as soon as their requests can be judged.
@@ -387,7 +387,7 @@
         node.settings.interface == interface_kind::platform;
     node.operators.drain = [&node]
     {
-        node.stop_asked = true;
+        node.drain_requested = true;
     };
 }
 
@@ -438,7 +438,7 @@
 }
 
 // Requests under way on any thread, asked on that thread.
-std::size_t streams_of(request_thread& thread)
+std::size_t count_open_streams(request_thread& thread)
 {
     std::promise<std::size_t> count;
     asio::post(
@@ -450,33 +450,33 @@
     return count.get_future().get();
 }
 
-std::size_t work_left(node_runtime& node)
+std::size_t count_open_requests(node_runtime& node)
 {
     std::size_t left = requests_at(node.gate) + node.sessions;
     for (const auto& thread : node.threads)
     {
-        left += streams_of(*thread);
+        left += count_open_streams(*thread);
     }
     return left;
 }
 
 // Waits until nothing is under way. Returns what is when time is up.
-std::size_t wait_for_work(
-    node_runtime& node, const std::atomic<bool>& hurry, time_point until)
+std::size_t wait_until_drained(
+    node_runtime& node, const std::atomic<bool>& stop_now, time_point until)
 {
-    std::size_t left = work_left(node);
-    while (left > 0 && !hurry && now() < until)
+    std::size_t left = count_open_requests(node);
+    while (left > 0 && !stop_now && now() < until)
     {
         std::this_thread::sleep_for(stop_poll_interval);
-        left = work_left(node);
+        left = count_open_requests(node);
     }
     return left;
 }
 
-void wait_unless(const std::atomic<bool>& hurry, duration time)
+void wait_or_stop_now(const std::atomic<bool>& stop_now, duration time)
 {
     const time_point until = now() + time;
-    while (!hurry && now() < until)
+    while (!stop_now && now() < until)
     {
         std::this_thread::sleep_for(stop_poll_interval);
     }
@@ -563,7 +563,7 @@
         settings.upstream.trusts_slots != 0,
         settings.upstream.reserved_for_calls / 100.0,
         settings.upstream.trusts_slots != 0};
-    node->control.retry_slack = settings.retries.fleet_slack;
+    node->control.fleet_retry_slack = settings.retries.fleet_slack;
     node->services.path.limiter.longest_wait = settings.rates.longest_wait;
     node->services.path.limiter.has_loans =
         settings.rates.sharing == rate_sharing::by_pledge;
@@ -582,7 +582,7 @@
         node->services.path.self = node->services.self;
         node->events = std::make_unique<shared_event_ring>(
             node->services.self, settings.name, settings.event_ring_size);
-        connect_parts(*node);
+        connect_callbacks(*node);
         prepare_operators(*node, secrets.operator_credential);
         platform_connection_settings platform;
         platform.endpoint = tcp_endpoint_of(settings.platform);
@@ -624,9 +624,9 @@
     }
     asio::post(
         node.control.io,
-        [&node, trust = next.key_trust]
+        [&node, trust = next.max_key_staleness]
         {
-            node.control.key_trust = trust;
+            node.control.max_key_staleness = trust;
         });
     const bool needs_restart = next.name != node.settings.name ||
                                next.listen != node.settings.listen ||
@@ -641,17 +641,17 @@
 
 bool stop_requested(const node_runtime& node)
 {
-    return node.stop_asked;
+    return node.drain_requested;
 }
 
-stop_report stop_node(node_runtime& node, const std::atomic<bool>& hurry)
+stop_report stop_node(node_runtime& node, const std::atomic<bool>& stop_now)
 {
     record_lifecycle(node, event_kind::node_stopping, node.settings.name);
     const time_point until = now() + node.settings.stop_timeout;
     // Callers are served on, each told to open its next connection elsewhere.
     node.services.path.draining = true;
     post_leave(node.control);
-    wait_unless(hurry, leave_notice);
+    wait_or_stop_now(stop_now, leave_propagation_time);
     for (const auto& thread : node.threads)
     {
         asio::post(
@@ -668,9 +668,9 @@
     // Callers may come until the end: a port that is closed tells them less
     // than an answer.
     const time_point last_new = now() + (until - now()) * 2 / 5;
-    std::size_t left = wait_for_work(node, hurry, last_new);
+    std::size_t left = wait_until_drained(node, stop_now, last_new);
     node.services.path.refuses_new = true;
-    left = wait_for_work(node, hurry, until);
+    left = wait_until_drained(node, stop_now, until);
     record_lifecycle(
         node, event_kind::node_stopped, std::to_string(left) + " cut");
     stop_threads(node);
--- a/src/adapters/node_runtime.hpp
+++ b/src/adapters/node_runtime.hpp
@@ -41,7 +41,7 @@
 struct stop_report
 {
     // Requests that were still under way when the bound was reached.
-    std::size_t cut = 0;
+    std::size_t unfinished = 0;
 };
 
 struct node_runtime;
@@ -63,8 +63,8 @@
 [[nodiscard]] bool stop_requested(const node_runtime& node);
 
 // Stops gracefully: tells the fleet, takes no new work, finishes what is under
-// way. `hurry` ends the wait when it becomes true.
+// way. `stop_now` ends the wait when it becomes true.
 [[nodiscard]] stop_report
-stop_node(node_runtime& node, const std::atomic<bool>& hurry);
+stop_node(node_runtime& node, const std::atomic<bool>& stop_now);
 
 } // namespace cyclamenhold
--- a/src/adapters/node_services.hpp
+++ b/src/adapters/node_services.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "adapters/exchange.hpp"
-#include "adapters/suspend_watch.hpp"
+#include "adapters/suspend_detector.hpp"
 #include "core/base/ids.hpp"
 #include "core/events/hybrid_clock.hpp"
 #include "core/request/call.hpp"
@@ -35,7 +35,7 @@
 // been silent for the timeout. New requests avoid a peer sooner: it costs them
 // nothing, while those under way may still be answered.
 constexpr auto heartbeat_interval = std::chrono::milliseconds(250);
-constexpr auto heartbeat_avoidance = std::chrono::milliseconds(600);
+constexpr auto peer_avoidance_timeout = std::chrono::milliseconds(600);
 constexpr auto heartbeat_timeout = std::chrono::milliseconds(2'000);
 
 struct node_services
@@ -49,13 +49,13 @@
     http_limits limits;
     request_path path;
     std::atomic<std::uint64_t> next_call{1};
-    suspend_watch suspensions;
+    suspend_detector suspensions;
 
     // Records an event; callable from any thread.
     std::function<void(const event&)> record;
     // The hybrid clock for a frame that leaves, and of one that came.
     std::function<hybrid_time()> stamp_send;
-    std::function<void(hybrid_time)> note_receive;
+    std::function<void(hybrid_time)> record_receive;
     // Runs a request that came for the local upstream, from any thread.
     std::function<void(const exchange_ptr&)> run_local;
     // Hands a control message of a peer to the control thread.
--- a/src/adapters/peer_links.cpp
+++ b/src/adapters/peer_links.cpp
@@ -34,13 +34,14 @@
     services.record(seen);
 }
 
-asio::awaitable<void> expire(asio::any_io_executor executor)
+asio::awaitable<void> wait_for_connect_timeout(asio::any_io_executor executor)
 {
     asio::steady_timer timer(executor, peer_connect_timeout);
     co_await timer.async_wait(asio::use_awaitable);
 }
 
-asio::awaitable<absl::Status> connect_and_prove(peer_link_ptr link, host_id to)
+asio::awaitable<absl::Status>
+connect_and_authenticate(peer_link_ptr link, host_id to)
 {
     auto& socket = link->connection->socket;
     const auto [error] = co_await socket.async_connect(
@@ -57,8 +58,9 @@
 asio::awaitable<void>
 run_dialled(peer_links* links, peer_link_ptr link, host_id to)
 {
-    auto outcome =
-        co_await (connect_and_prove(link, to) || expire(links->executor));
+    auto outcome = co_await (
+        connect_and_authenticate(link, to) ||
+        wait_for_connect_timeout(links->executor));
     const bool timed_out = outcome.index() == 1;
     const absl::Status status = timed_out
                                     ? absl::DeadlineExceededError("no answer")
@@ -84,7 +86,7 @@
     }
 }
 
-peer_link_ptr link_to(peer_links& links, host_id target)
+peer_link_ptr find_or_dial(peer_links& links, host_id target)
 {
     if (const auto found = links.dialled.find(target);
         found != links.dialled.end() && !found->second->connection->closed &&
@@ -106,7 +108,7 @@
 {
     auto outcome = co_await (
         handshake_as_acceptor(link->connection, identity_of(link->services)) ||
-        expire(links->executor));
+        wait_for_connect_timeout(links->executor));
     const bool accepted = outcome.index() == 0 && std::get<0>(outcome).ok();
     if (accepted)
     {
@@ -127,12 +129,12 @@
 
 void send_exchange(peer_links& links, host_id target, const exchange_ptr& work)
 {
-    open_stream(link_to(links, target), work);
+    open_stream(find_or_dial(links, target), work);
 }
 
 void send_message(peer_links& links, const outgoing_message& message)
 {
-    send_control(link_to(links, message.to), message);
+    send_control(find_or_dial(links, message.to), message);
 }
 
 void accept_peer(peer_links& links, asio::ip::tcp::socket socket)
@@ -161,7 +163,8 @@
     std::vector<peer_link_ptr> idle;
     for (const auto& [host, link] : links.dialled)
     {
-        if (link->streams.empty() && now() - link->used_at > peer_idle_timeout)
+        if (link->streams.empty() &&
+            now() - link->last_used_at > peer_idle_timeout)
         {
             idle.push_back(link);
         }
--- a/src/adapters/peer_socket.cpp
+++ b/src/adapters/peer_socket.cpp
@@ -12,11 +12,12 @@
 {
 
 constexpr std::size_t read_size_bytes = 64 * 1024;
-// Bounds one wait for room, after which the condition is looked at again.
-constexpr auto room_wait_limit = std::chrono::seconds(1);
+// Bounds one wait for send_capacity_signal, after which the condition is looked
+// at again.
+constexpr auto max_send_capacity_wait = std::chrono::seconds(1);
 
 // Moves a whole frame from the receive buffer to `payload`, if there is one.
-bool take_frame(
+bool extract_frame(
     peer_socket& peer, std::vector<std::uint8_t>& payload, bool& too_long)
 {
     const std::span<const std::uint8_t> available(
@@ -38,8 +39,9 @@
     return true;
 }
 
-// Moves what is left to the front and makes room for another read.
-void make_room(peer_socket& peer)
+// Moves what is left to the front and makes send_capacity_signal for another
+// read.
+void compact_receive_buffer(peer_socket& peer)
 {
     const std::size_t left = peer.received_end - peer.received_begin;
     std::memmove(
@@ -58,7 +60,7 @@
     {
         peer->in_flight.clear();
         std::swap(peer->in_flight, peer->pending);
-        peer->room.cancel();
+        peer->send_capacity_signal.cancel();
         const auto [error, written] = co_await asio::async_write(
             peer->socket, asio::buffer(peer->in_flight),
             asio::as_tuple(asio::use_awaitable));
@@ -71,7 +73,7 @@
     peer->writing = false;
 }
 
-bool is_sound(const wire::hello& hello)
+bool is_valid_hello(const wire::hello& hello)
 {
     return hello.protocol() == peer_protocol_version &&
            hello.nonce()->size() == handshake_nonce_bytes;
@@ -96,7 +98,7 @@
     }
     const wire::frame* const frame = decode_frame(payload);
     const auto* const hello = frame ? frame->body_as_hello() : nullptr;
-    if (hello == nullptr || !is_sound(*hello))
+    if (hello == nullptr || !is_valid_hello(*hello))
     {
         co_return absl::InvalidArgumentError("not a hello of this protocol");
     }
@@ -131,13 +133,13 @@
 read_frame(peer_socket& peer, std::vector<std::uint8_t>& payload)
 {
     bool too_long = false;
-    while (!take_frame(peer, payload, too_long))
+    while (!extract_frame(peer, payload, too_long))
     {
         if (too_long)
         {
             co_return absl::InvalidArgumentError("the frame is too long");
         }
-        make_room(peer);
+        compact_receive_buffer(peer);
         const auto [error, count] = co_await peer.socket.async_read_some(
             asio::buffer(
                 peer.received.data() + peer.received_end, read_size_bytes),
@@ -147,7 +149,7 @@
         {
             co_return absl::UnavailableError(error.message());
         }
-        peer.heard_at = now();
+        peer.last_received_at = now();
     }
     co_return absl::OkStatus();
 }
@@ -163,12 +165,13 @@
         peer->socket.get_executor(), write_pending(peer), asio::detached);
 }
 
-asio::awaitable<void> wait_for_room(peer_socket& peer)
+asio::awaitable<void> wait_for_send_capacity(peer_socket& peer)
 {
     while (!peer.closed && peer.pending.size() > max_pending_bytes)
     {
-        peer.room.expires_after(room_wait_limit);
-        co_await peer.room.async_wait(asio::as_tuple(asio::use_awaitable));
+        peer.send_capacity_signal.expires_after(max_send_capacity_wait);
+        co_await peer.send_capacity_signal.async_wait(
+            asio::as_tuple(asio::use_awaitable));
     }
 }
 
@@ -181,7 +184,7 @@
     peer.closed = true;
     boost::system::error_code ignored;
     peer.socket.close(ignored);
-    peer.room.cancel();
+    peer.send_capacity_signal.cancel();
 }
 
 asio::awaitable<absl::Status> handshake_as_dialler(
--- a/src/adapters/peer_socket.hpp
+++ b/src/adapters/peer_socket.hpp
@@ -23,7 +23,8 @@
 struct peer_socket
 {
     explicit peer_socket(asio::ip::tcp::socket connection)
-        : socket(std::move(connection)), room(socket.get_executor())
+        : socket(std::move(connection)),
+          send_capacity_signal(socket.get_executor())
     {
     }
 
@@ -32,7 +33,7 @@
     host_id peer = host_id::none;
     incarnation peer_incarnation = 0;
     bool closed = false;
-    time_point heard_at{};
+    time_point last_received_at{};
     time_point written_at{};
 
     // Bytes read and not yet taken are from `received_begin` to
@@ -45,7 +46,7 @@
     std::vector<std::uint8_t> in_flight;
     bool writing = false;
     // Cancelled when `pending` has become short again.
-    asio::steady_timer room;
+    asio::steady_timer send_capacity_signal;
 };
 
 using peer_socket_ptr = std::shared_ptr<peer_socket>;
@@ -62,7 +63,7 @@
 void flush(const peer_socket_ptr& peer);
 
 // Waits until less than max_pending_bytes are pending, or the end.
-[[nodiscard]] asio::awaitable<void> wait_for_room(peer_socket& peer);
+[[nodiscard]] asio::awaitable<void> wait_for_send_capacity(peer_socket& peer);
 
 void close(peer_socket& peer);
 
--- a/src/adapters/peer_streams.cpp
+++ b/src/adapters/peer_streams.cpp
@@ -36,7 +36,7 @@
             asio::as_tuple(asio::use_awaitable));
     }
     stream->credit -= static_cast<std::int64_t>(size);
-    co_await wait_for_room(*link->connection);
+    co_await wait_for_send_capacity(*link->connection);
     co_return !stream->finished && !link->connection->closed;
 }
 
@@ -105,7 +105,7 @@
         return;
     }
     encode_stream_credit(link->connection->pending, id, stream->consumed);
-    stream->granted += stream->consumed;
+    stream->receive_credit += stream->consumed;
     stream->consumed = 0;
     flush(link->connection);
 }
@@ -149,10 +149,10 @@
 }
 
 // Lets the peer send the rest of the body of a request that has started.
-void grant_started(
+void grant_stream_window(
     const peer_link_ptr& link, const peer_stream_ptr& stream, std::uint64_t id)
 {
-    stream->granted += stream_window_bytes;
+    stream->receive_credit += stream_window_bytes;
     encode_stream_credit(link->connection->pending, id, stream_window_bytes);
     flush(link->connection);
 }
@@ -177,7 +177,7 @@
         }
         if (event.started)
         {
-            grant_started(link, stream, id);
+            grant_stream_window(link, stream, id);
             continue;
         }
         send_reply_event(link, id, event);
@@ -226,7 +226,7 @@
     work->target_incarnation = open.target_incarnation();
     auto stream = std::make_shared<peer_stream>(work, executor);
     stream->credit = stream_window_bytes;
-    stream->granted = max_chunk_bytes;
+    stream->receive_credit = max_chunk_bytes;
     work->on_body_consumed = make_consumed_hook(link, stream, id);
     link->streams.emplace(id, stream);
     asio::co_spawn(executor, pump_reply(link, stream, id), asio::detached);
@@ -234,7 +234,7 @@
 }
 
 // Ends a stream whose peer broke the protocol or whose body does not add up.
-void cut_stream(
+void abort_stream(
     const peer_link_ptr& link, const peer_stream_ptr& stream, std::uint64_t id)
 {
     if (stream->opened_here)
@@ -270,7 +270,7 @@
     }
     if (!sent)
     {
-        cut_stream(link, stream, id);
+        abort_stream(link, stream, id);
     }
 }
 
@@ -281,11 +281,11 @@
     const std::string_view bytes(
         reinterpret_cast<const char*>(data.bytes()->data()),
         data.bytes()->size());
-    stream->granted -= static_cast<std::int64_t>(bytes.size());
-    if (stream->granted < 0)
+    stream->receive_credit -= static_cast<std::int64_t>(bytes.size());
+    if (stream->receive_credit < 0)
     {
         record_bad_frame(*link, "a body is longer than its credit");
-        cut_stream(link, stream, data.stream());
+        abort_stream(link, stream, data.stream());
         return;
     }
     stream->received.add(bytes);
@@ -300,7 +300,7 @@
         end.checksum() != stream->received.checksum())
     {
         record_bad_frame(*link, "a body does not match its checksum");
-        cut_stream(link, stream, end.stream());
+        abort_stream(link, stream, end.stream());
         return;
     }
     deliver(link, stream, end.stream(), {}, true);
@@ -334,7 +334,7 @@
     if (!stream->work->reply.try_send(
             boost::system::error_code(), std::move(event)))
     {
-        cut_stream(link, stream, reply.stream());
+        abort_stream(link, stream, reply.stream());
     }
 }
 
@@ -389,7 +389,7 @@
 {
     if (frame.clock() != 0)
     {
-        link->services.note_receive(static_cast<hybrid_time>(frame.clock()));
+        link->services.record_receive(static_cast<hybrid_time>(frame.clock()));
     }
     switch (frame.body_type())
     {
@@ -473,7 +473,7 @@
     auto stream = std::make_shared<peer_stream>(work, executor);
     stream->opened_here = true;
     stream->credit = max_chunk_bytes;
-    stream->granted = stream_window_bytes;
+    stream->receive_credit = stream_window_bytes;
     work->on_reply_consumed = make_consumed_hook(link, stream, id);
     link->streams.emplace(id, stream);
     work->untouched = false;
@@ -506,7 +506,7 @@
     std::uint64_t sequence = 0;
     while (!link->connection->closed)
     {
-        if (now() - link->connection->heard_at > heartbeat_timeout)
+        if (now() - link->connection->last_received_at > heartbeat_timeout)
         {
             event seen;
             seen.kind = event_kind::peer_silent;
@@ -516,7 +516,7 @@
             end_link(link);
             co_return;
         }
-        if (now() - link->connection->heard_at > heartbeat_avoidance)
+        if (now() - link->connection->last_received_at > peer_avoidance_timeout)
         {
             link->services.on_peer_silent(link->connection->peer);
         }
@@ -532,7 +532,7 @@
 
 void open_stream(const peer_link_ptr& link, const exchange_ptr& work)
 {
-    link->used_at = now();
+    link->last_used_at = now();
     if (link->connection->closed || link->going_away)
     {
         fail(*work, {refusal::no_upstream, outcome::not_run});
@@ -548,7 +548,7 @@
 
 void send_control(const peer_link_ptr& link, const outgoing_message& message)
 {
-    link->used_at = now();
+    link->last_used_at = now();
     if (link->connection->closed)
     {
         return;
@@ -566,7 +566,7 @@
 asio::awaitable<void> run_link(peer_link_ptr link)
 {
     link->ready = true;
-    link->connection->heard_at = now();
+    link->connection->last_received_at = now();
     for (const auto& work : std::exchange(link->waiting, {}))
     {
         start_stream(link, work);
--- a/src/adapters/peer_streams.hpp
+++ b/src/adapters/peer_streams.hpp
@@ -22,9 +22,9 @@
 constexpr std::uint32_t stream_window_bytes = 256 * 1024;
 
 // Length and checksum of the body that flows one way.
-struct body_tally
+struct body_digest
 {
-    body_tally() : state(XXH3_createState(), XXH3_freeState)
+    body_digest() : state(XXH3_createState(), XXH3_freeState)
     {
         XXH3_64bits_reset(state.get());
     }
@@ -54,11 +54,11 @@
     std::int64_t credit = 0;
     asio::steady_timer credit_signal;
     // Bytes that the peer may still send; fewer is a protocol error.
-    std::int64_t granted = 0;
-    // Consumed here and not yet granted again.
+    std::int64_t receive_credit = 0;
+    // Consumed here and not yet receive_credit again.
     std::uint32_t consumed = 0;
-    body_tally sent;
-    body_tally received;
+    body_digest sent;
+    body_digest received;
     bool opened_here = false;
     bool started = false;
     bool finished = false;
@@ -83,7 +83,7 @@
     // The peer takes no new streams on this link.
     bool going_away = false;
     std::uint64_t next_stream = 1;
-    time_point used_at{};
+    time_point last_used_at{};
     std::unordered_map<std::uint64_t, peer_stream_ptr> streams;
     // Opened before the handshake was done.
     std::vector<exchange_ptr> waiting;
--- a/src/adapters/platform_client.cpp
+++ b/src/adapters/platform_client.cpp
@@ -26,7 +26,7 @@
           calls(executor, from.endpoint, from.connections),
           watches(executor, from.endpoint, from.watch_connections),
           random(from.seed),
-          backoff(from.first_backoff)
+          backoff(from.initial_backoff)
     {
     }
     platform_connection_settings settings;
@@ -37,7 +37,7 @@
     // The bound of the next random wait.
     duration backoff;
     // No call is sent before.
-    time_point not_before{};
+    time_point backoff_until{};
 };
 
 namespace
@@ -55,22 +55,23 @@
 }
 
 // A random share of the backoff, so that many clients spread out.
-void note_failure(platform_connections& client)
+void record_failure(platform_connections& client)
 {
     const time_point at = now();
-    if (at < client.not_before)
+    if (at < client.backoff_until)
     {
         return;
     }
     const double share = random_fraction(client.random);
-    client.not_before = at + from_seconds(share * to_seconds(client.backoff));
-    client.backoff = std::min(client.backoff * 2, client.settings.last_backoff);
+    client.backoff_until =
+        at + from_seconds(share * to_seconds(client.backoff));
+    client.backoff = std::min(client.backoff * 2, client.settings.max_backoff);
 }
 
-void note_success(platform_connections& client)
+void record_success(platform_connections& client)
 {
-    client.backoff = client.settings.first_backoff;
-    client.not_before = {};
+    client.backoff = client.settings.initial_backoff;
+    client.backoff_until = {};
 }
 
 // Waits until the backoff is over; false when that is after `deadline`.
@@ -78,9 +79,9 @@
 wait_for_backoff(platform_connections& client, time_point deadline)
 {
     asio::steady_timer timer(client.calls.executor);
-    while (client.not_before > now())
+    while (client.backoff_until > now())
     {
-        timer.expires_at(std::min(client.not_before, deadline));
+        timer.expires_at(std::min(client.backoff_until, deadline));
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
         if (now() >= deadline)
         {
@@ -112,7 +113,7 @@
     const http_result result = co_await http_send(pool, std::move(request));
     if (result.status != http_call_status::answered)
     {
-        note_failure(client);
+        record_failure(client);
         co_return unavailable_reply(call);
     }
     auto reply = codec.decode_reply(call, {result.http_status, result.body});
@@ -120,11 +121,11 @@
         reply->status == platform_status::rejected)
     {
         // Also a refusal for load is a reason to call less.
-        note_failure(client);
+        record_failure(client);
     }
     else
     {
-        note_success(client);
+        record_success(client);
     }
     if (!reply.ok())
     {
@@ -157,7 +158,7 @@
     platform_callback callback)
 {
     const auto& executor = client->calls.executor;
-    if (client->pending >= client->settings.most_pending_calls)
+    if (client->pending >= client->settings.max_pending_calls)
     {
         asio::post(
             executor,
--- a/src/adapters/platform_client.hpp
+++ b/src/adapters/platform_client.hpp
@@ -24,11 +24,11 @@
     // Watches wait on connections of their own.
     std::size_t watch_connections = 4;
     // Calls beyond this number are answered `unavailable` at once.
-    std::size_t most_pending_calls = 1'000;
+    std::size_t max_pending_calls = 1'000;
     // After a failure no connection is made for a random time up to a bound,
     // which doubles from the first to the last.
-    duration first_backoff = 50ms;
-    duration last_backoff = 1s;
+    duration initial_backoff = 50ms;
+    duration max_backoff = 1s;
     std::uint64_t seed = 1;
     platform_codec codec;
 };
--- a/src/adapters/settings.hpp
+++ b/src/adapters/settings.hpp
@@ -148,7 +148,7 @@
     std::uint32_t event_ring_size = 65'536;
     // Keys are trusted for so long after the configuration here was last known
     // to be the newest; zero for ever.
-    std::chrono::milliseconds key_trust{0};
+    std::chrono::milliseconds max_key_staleness{0};
     // A planned stop that takes longer cuts what is left.
     std::chrono::milliseconds stop_timeout{30'000};
 };
--- a/src/adapters/settings_table.cpp
+++ b/src/adapters/settings_table.cpp
@@ -182,7 +182,8 @@
         "Most lines about single requests and beliefs; those beyond are "
         "counted."},
     setting_entry{
-        "/key_trust_ms", CYCLAMEN_MEMBER(key_trust), optional, 0, hour_ms, "ms",
+        "/key_trust_ms", CYCLAMEN_MEMBER(max_key_staleness), optional, 0,
+        hour_ms, "ms",
         "Keys are refused when the configuration was last known to be the "
         "newest longer ago than this; 0 for never."},
     setting_entry{
--- a/src/adapters/suspend_watch.cpp
+++ b/src/adapters/suspend_detector.cpp
@@ -1,4 +1,4 @@
-#include "adapters/suspend_watch.hpp"
+#include "adapters/suspend_detector.hpp"
 
 #include "adapters/clock.hpp"
 
@@ -23,7 +23,7 @@
 
 } // namespace
 
-std::optional<time_point> noticed_resumption(suspend_watch& watch)
+std::optional<time_point> detect_resumption(suspend_detector& watch)
 {
     const time_point at = now();
     const std::int64_t lead = boot_time_ns() - at.time_since_epoch().count();
--- a/src/adapters/suspend_watch.hpp
+++ b/src/adapters/suspend_detector.hpp
@@ -11,7 +11,7 @@
 namespace cyclamenhold
 {
 
-struct suspend_watch
+struct suspend_detector
 {
     // By how much the boot-time clock is ahead, in nanoseconds.
     std::atomic<std::int64_t> lead{0};
@@ -19,6 +19,6 @@
 
 // Tells the first caller after a suspension when it noticed.
 [[nodiscard]] std::optional<time_point>
-noticed_resumption(suspend_watch& watch);
+detect_resumption(suspend_detector& watch);
 
 } // namespace cyclamenhold
--- a/src/apps/cyclamen-node/main.cpp
+++ b/src/apps/cyclamen-node/main.cpp
@@ -19,7 +19,7 @@
 constexpr int exit_ok = 0;
 constexpr int exit_failed = 1;
 constexpr int exit_bad_settings = 2;
-// Some requests were cut when the stop took too long.
+// Some requests were unfinished when the stop took too long.
 constexpr int exit_cut = 3;
 
 std::atomic<int> signals_seen{0};
@@ -71,7 +71,7 @@
         }
     }
     const int before = signals_seen;
-    std::atomic<bool> hurry{false};
+    std::atomic<bool> stop_now{false};
     std::atomic<bool> stopped{false};
     // A second signal ends the wait.
     std::thread watcher(
@@ -81,14 +81,15 @@
             {
                 std::this_thread::sleep_for(std::chrono::milliseconds(20));
             }
-            hurry = true;
+            stop_now = true;
         });
-    const stop_report report = stop_node(node, hurry);
+    const stop_report report = stop_node(node, stop_now);
     stopped = true;
     watcher.join();
-    if (report.cut > 0)
+    if (report.unfinished > 0)
     {
-        std::cerr << "stopped with " << report.cut << " requests under way\n";
+        std::cerr << "stopped with " << report.unfinished
+                  << " requests under way\n";
         return exit_cut;
     }
     return exit_ok;
--- a/tests/adapters/ctl_node_test.cpp
+++ b/tests/adapters/ctl_node_test.cpp
@@ -189,8 +189,8 @@
         SCOPED_TRACE("drain asks for the planned stop, which cuts nothing");
         EXPECT_EQ(console.ctl({"drain"}).code, exit_code::success);
         EXPECT_TRUE(stop_requested(**node));
-        const std::atomic<bool> hurry{false};
-        EXPECT_EQ(stop_node(**node, hurry).cut, 0U);
+        const std::atomic<bool> stop_now{false};
+        EXPECT_EQ(stop_node(**node, stop_now).unfinished, 0U);
     }
 }
 
--- a/tests/adapters/platform_test.cpp
+++ b/tests/adapters/platform_test.cpp
@@ -29,7 +29,7 @@
     {
         server = make_platform_server(context.get_executor());
         settings.endpoint = *start_platform_server(server, any_port);
-        settings.last_backoff = 100ms;
+        settings.max_backoff = 100ms;
         settings.codec = platform::store_codec();
         client = make_platform_connections(context.get_executor(), settings);
     }
@@ -406,7 +406,7 @@
 {
     platform_fixture platform;
     platform.settings.endpoint.port(1);
-    platform.settings.most_pending_calls = 1;
+    platform.settings.max_pending_calls = 1;
     platform.client = make_platform_connections(
         platform.context.get_executor(), platform.settings);
     const auto read = make_call(platform_operation::get, "key");
