--- a/src/adapters/bytes.hpp
+++ b/src/adapters/bytes.hpp
@@ -1,4 +1,4 @@
-// Buffers that the adapters move around.
+// The byte buffer of the adapters.
 #pragma once
 
 #include <cstdint>
--- a/src/adapters/clock.hpp
+++ b/src/adapters/clock.hpp
@@ -1,4 +1,4 @@
-// The real clocks.
+// The clocks of the system.
 #pragma once
 
 #include "core/base/time.hpp"
--- a/src/adapters/control_loop.cpp
+++ b/src/adapters/control_loop.cpp
@@ -37,7 +37,7 @@
     loop.services.path.routing.publish(std::move(next));
     if (loop.fleet_retry_slack > 0)
     {
-        // Half, since the repeats of calls of repeated requests come on top.
+        // Half, because retried requests make calls whose retries add to these.
         const double hosts =
             static_cast<double>(loop.state.membership.members.size()) + 1.0;
         set_max_service_tokens(
@@ -57,7 +57,8 @@
         build_request_tables(*loop.published_configuration)));
 }
 
-// Says until when keys may be trusted without a newer proof.
+// Publishes until when keys are accepted unless the configuration is confirmed
+// again. Records an event when keys become stale or fresh.
 void publish_key_freshness(control_loop& loop)
 {
     if (loop.max_key_staleness == duration::zero())
@@ -74,16 +75,16 @@
                                  : confirmed + loop.max_key_staleness;
     loop.services.path.keys_fresh_until.store(
         until.time_since_epoch().count(), std::memory_order_relaxed);
-    const bool trusted = now() < until;
-    if (trusted != loop.are_keys_fresh)
+    const bool are_fresh = now() < until;
+    if (are_fresh != loop.are_keys_fresh)
     {
-        loop.are_keys_fresh = trusted;
+        loop.are_keys_fresh = are_fresh;
         event seen;
-        seen.kind = trusted ? event_kind::platform_available
-                            : event_kind::platform_unavailable;
-        seen.detail = trusted ? "keys are trusted again"
-                              : "keys are refused: the configuration was not "
-                                "confirmed in time";
+        seen.kind = are_fresh ? event_kind::platform_available
+                              : event_kind::platform_unavailable;
+        seen.detail = are_fresh ? "keys are accepted again"
+                                : "keys are refused: the configuration was not "
+                                  "confirmed in time";
         loop.services.record(seen);
     }
 }
@@ -134,13 +135,14 @@
 
 void arm_timer(control_loop& loop);
 
-// Runs one step of the control core and then what follows from it.
-template <class Step>
-void run_control_event(control_loop& loop, const Step& step)
+// Runs one event of the control core, executes its actions and publishes the
+// state that it changed.
+template <class Handler>
+void run_control_event(control_loop& loop, const Handler& handler)
 {
     const std::uint64_t before = thread_time_us();
     control_actions actions;
-    step(actions);
+    handler(actions);
     execute_actions(loop, std::move(actions));
     publish_members(loop);
     publish_configuration(loop);
@@ -246,7 +248,8 @@
         });
 }
 
-// An announcement without a connection cap gets that of the configuration.
+// Fills in the connection cap of an announcement that has none: that of the
+// configuration, or else the number of slots.
 upstream_announcement with_connection_cap(
     const control_loop& loop, upstream_announcement announcement)
 {
@@ -333,7 +336,7 @@
     };
     loop.services.path.limiter.on_waiting = [&loop]
     {
-        // One prompt at a time is enough for any number of waiting requests.
+        // One posted tick serves any number of waiting requests.
         if (!loop.tick_requested.exchange(true))
         {
             asio::post(
@@ -345,7 +348,8 @@
                 });
         }
     };
-    // Lives of the upstream count on past those of an earlier node here.
+    // Upstream incarnations start at the node's own, so that they exceed those
+    // that an earlier node process on this host has counted.
     loop.upstream.life = loop.services.self_incarnation;
     asio::co_spawn(loop.io, run_datagrams(*loop.datagrams), asio::detached);
     asio::post(
@@ -377,11 +381,11 @@
         });
 }
 
-void post_claim_request(control_loop& loop, const claim_request& question)
+void post_claim_request(control_loop& loop, const claim_request& request)
 {
     asio::post(
         loop.io,
-        [&loop, question]
+        [&loop, request]
         {
             run_control_event(
                 loop,
@@ -389,7 +393,7 @@
                 {
                     claims_request(
                         loop.state.claims, inputs_of_claims(loop.state),
-                        question, now(), loop.random, actions);
+                        request, now(), loop.random, actions);
                 });
         });
 }
@@ -470,14 +474,14 @@
         loop.io,
         [&loop, digests]
         {
-            const upstream_incarnation life{
+            const upstream_incarnation crashed{
                 loop.services.self, loop.upstream.life};
             run_control_event(
                 loop,
                 [&](control_actions& actions)
                 {
                     quarantine_on_crash(
-                        loop.state.quarantine, loop.state.membership, life,
+                        loop.state.quarantine, loop.state.membership, crashed,
                         digests, now(), loop.random, actions);
                 });
             publish_upstream(loop, on_leave(loop.upstream, {}));
--- a/src/adapters/control_loop.hpp
+++ b/src/adapters/control_loop.hpp
@@ -1,5 +1,5 @@
 // Runs the control side of a node on one thread: its timer, datagrams, control
-// messages and platform calls. Publishes what the request path reads.
+// messages and platform calls. Publishes the data that the request path reads.
 #pragma once
 
 #include "adapters/call_wakeups.hpp"
@@ -20,16 +20,16 @@
 namespace cyclamenhold
 {
 
-// The longest time between two looks at waiting requests.
+// The longest time between two checks of the waiting requests.
 constexpr auto max_control_interval = std::chrono::milliseconds(20);
 
 struct control_loop
 {
     control_loop(
-        node_services& shared, local_gate& front, call_wakeups& calls,
+        node_services& shared, local_gate& local, call_wakeups& calls,
         std::uint64_t seed)
         : services(shared),
-          gate(front),
+          gate(local),
           wakeups(calls),
           links(shared, io.get_executor()),
           timer(io),
@@ -49,24 +49,26 @@
     std::shared_ptr<platform_connections> platform;
     upstream_monitor upstream;
 
-    // What was published last.
+    // The versions published last.
     std::uint64_t published_members = 0;
     std::uint64_t published_quarantine = 0;
     std::shared_ptr<const configuration> published_configuration;
     commit_token next_commit = 1;
     std::unordered_map<commit_token, std::function<void(const commit_result&)>>
         commits;
-    // Keys are trusted for so long after the configuration was last known to
-    // be the newest; zero for ever.
+    // Keys are accepted for this duration after the configuration was last
+    // confirmed to be the newest; zero means without limit.
     duration max_key_staleness{};
     bool are_keys_fresh = true;
-    // Repeats that the fleet may save up for a service; zero for no bound.
+    // Retry tokens that the whole fleet may accumulate for a service; zero
+    // means no bound.
     double fleet_retry_slack = 0.0;
     bool platform_reachable = true;
     bool leaving = false;
-    // A tick has been asked for because requests wait for tokens.
+    // A tick is posted because requests wait for tokens.
     std::atomic<bool> tick_requested{false};
-    // Processor time spent here, for the budget of the control side.
+    // Processor time spent in control events, for the processor budget of the
+    // control side.
     std::atomic<std::uint64_t> busy_us{0};
 };
 
@@ -75,12 +77,12 @@
     control_loop& loop, const control_settings& settings,
     asio::ip::udp::socket socket, const platform_connection_settings& platform);
 
-// The rest may be called from any thread.
+// Unless noted otherwise, the functions below may be called from any thread.
 
 void post_control_message(
     control_loop& loop, host_id from, message_kind kind,
     std::vector<std::uint8_t> payload);
-void post_claim_request(control_loop& loop, const claim_request& question);
+void post_claim_request(control_loop& loop, const claim_request& request);
 void post_claim_completion(
     control_loop& loop, const claim_completion& completion);
 void post_ticket_request(
@@ -93,16 +95,17 @@
 void post_upstream_drain(control_loop& loop);
 void post_upstream_leave(
     control_loop& loop, const upstream_departure& departure);
-// The local upstream died while requests with these digests were in flight.
+// Reports that the local upstream crashed while requests with these digests
+// were in flight.
 void post_upstream_crash(
     control_loop& loop, const std::vector<std::uint64_t>& digests);
-// A request under suspicion of killing upstreams ended well.
+// Reports the success of a request that was suspected of crashing upstreams.
 void post_suspect_success(control_loop& loop, std::uint64_t digest);
 
 // Announces the planned stop to the fleet.
 void post_leave(control_loop& loop);
 
-// Appends a change to the chain; `done` runs on the control thread. To be
+// Appends a change to the chain; `done` runs on the control thread. Must be
 // called on the control thread.
 void commit_change(
     control_loop& loop, std::uint64_t base_revision,
--- a/src/adapters/datagram_port.cpp
+++ b/src/adapters/datagram_port.cpp
@@ -17,8 +17,8 @@
 
 using authentication_code = std::array<std::uint8_t, code_bytes>;
 
-// HMAC-SHA256 cut to 128 bits. The leading text keeps these codes apart from
-// all other uses of the fleet secret.
+// HMAC-SHA256 truncated to 128 bits. The prefix separates these codes from all
+// other uses of the fleet secret.
 authentication_code authentication_code_of(
     const std::string& secret, std::span<const std::uint8_t> bytes)
 {
@@ -157,10 +157,11 @@
         const auto message = open_datagram(port, std::span(space).first(count));
         if (!message)
         {
-            port.on_rejected("a datagram was not authentic, or came twice");
+            port.on_rejected(
+                "a datagram is malformed, not authentic or a duplicate");
             continue;
         }
-        // The tables inside need their own alignment.
+        // Copied, because the tables in the payload need their own alignment.
         const std::vector<std::uint8_t> payload(
             message->payload.begin(), message->payload.end());
         port.on_message({message->from, message->kind, payload});
--- a/src/adapters/datagram_port.hpp
+++ b/src/adapters/datagram_port.hpp
@@ -20,18 +20,18 @@
 
 namespace asio = boost::asio;
 
-// Remembers which of the newest sequence numbers of a sender were seen, so that
-// a datagram counts once however often it is sent.
+// Records which of a sender's newest sequence numbers were received, so that
+// duplicates of a datagram are dropped.
 struct replay_window
 {
     incarnation sender_incarnation = 0;
     std::uint64_t newest = 0;
-    // Bit n stands for the number `newest - n`.
+    // Bit n is set if the number `newest - n` was received.
     std::uint64_t seen = 0;
 };
 
-// True when the number is new; remembers it. Numbers too old to tell and
-// incarnations older than the newest seen are refused.
+// Records the number; true if it is new. Numbers below the window and
+// incarnations older than the newest received are refused.
 [[nodiscard]] bool record_sequence(
     replay_window& window, incarnation sender_incarnation,
     std::uint64_t sequence);
@@ -50,7 +50,8 @@
     std::uint64_t next_sequence = 1;
     std::unordered_map<host_id, replay_window> replay_windows;
     std::function<void(const incoming_message&)> on_message;
-    // A datagram that is malformed or not of this fleet.
+    // Called with the reason for a datagram that is malformed, a duplicate or
+    // not of this fleet.
     std::function<void(const char*)> on_rejected;
     std::uint64_t bytes_sent = 0;
     std::uint64_t bytes_received = 0;
@@ -60,12 +61,13 @@
 [[nodiscard]] std::vector<std::uint8_t>
 seal_datagram(datagram_port& port, const outgoing_message& message);
 
-// What an authentic datagram for this host holds; nullopt for any other. The
-// payload points into `bytes`, which must be aligned to 8 bytes.
+// The message in an authentic datagram for this host; nullopt for any other
+// and for duplicates. The payload points into `bytes`, which must be aligned to
+// 8 bytes.
 [[nodiscard]] std::optional<incoming_message>
 open_datagram(datagram_port& port, std::span<const std::uint8_t> bytes);
 
-// Sends without waiting; the datagram is dropped when the system has no room.
+// Sends a datagram, which is dropped if the system cannot send it.
 void send_datagram(datagram_port& port, const outgoing_message& message);
 
 // Receives until the socket is closed.
--- a/src/adapters/exit_code.hpp
+++ b/src/adapters/exit_code.hpp
@@ -1,4 +1,4 @@
-// What the command line tools return to the shell.
+// Exit codes of the command-line tools.
 #pragma once
 
 namespace cyclamenhold
@@ -7,10 +7,10 @@
 enum class exit_code : int
 {
     success = 0,
-    // The system refused, or another change came first.
+    // The system refused the request, or it conflicts with an earlier change.
     refused = 1,
     bad_usage = 2,
-    // No node answered; a change may or may not be in force.
+    // No node answered; a change may or may not have been committed.
     not_reached = 3
 };
 
--- a/src/adapters/node_runtime.cpp
+++ b/src/adapters/node_runtime.cpp
@@ -14,16 +14,17 @@
 
 using tcp_acceptor = asio::ip::tcp::acceptor;
 
-// How long peers and callers are given to learn of a planned stop before new
-// work is refused.
+// The time for the announcement of a planned stop to reach peers and callers
+// before new work is refused.
 constexpr auto leave_propagation_time = std::chrono::milliseconds(1'500);
 constexpr auto stop_poll_interval = std::chrono::milliseconds(50);
 constexpr auto gate_tick_interval = std::chrono::milliseconds(10);
 
 struct node_runtime
 {
-    node_runtime(const node_settings& given, json_log sink, std::uint64_t seed)
-        : settings(given),
+    node_runtime(
+        const node_settings& initial, json_log sink, std::uint64_t seed)
+        : settings(initial),
           log(std::move(sink)),
           gate(services),
           control(services, gate, wakeups, seed)
@@ -49,7 +50,7 @@
     std::unique_ptr<tcp_acceptor> upstream_acceptor;
     std::unique_ptr<tcp_acceptor> peers_acceptor;
     std::unique_ptr<tcp_acceptor> operators_acceptor;
-    // Null without such an endpoint.
+    // Null if the settings name no readiness endpoint.
     std::unique_ptr<tcp_acceptor> ready_acceptor;
     decision_log decisions;
     std::vector<std::thread> running;
@@ -75,11 +76,11 @@
 std::unique_ptr<tcp_acceptor>
 open_acceptor(asio::io_context& io, const ip_endpoint& endpoint)
 {
-    // Throws with the reason, which start_node reports.
+    // Throws system_error, whose text start_node returns.
     return std::make_unique<tcp_acceptor>(io, tcp_endpoint_of(endpoint), true);
 }
 
-// Binds the peers' UDP port to the number its TCP port has.
+// Binds the UDP port for peers, which has the number of their TCP port.
 asio::ip::udp::socket open_datagrams(node_runtime& node)
 {
     const asio::ip::udp::endpoint local(
@@ -110,8 +111,8 @@
     return *node.threads[node.next_thread++ % node.threads.size()];
 }
 
-// Accepts connections on `acceptor` and hands each socket, bound to the thread
-// that will serve it, to `serve`.
+// Accepts connections on `acceptor`. Passes each socket, bound to the request
+// thread that serves it, to `serve`.
 template <class Serve>
 asio::awaitable<void>
 accept_loop(node_runtime* node, tcp_acceptor* acceptor, Serve serve)
@@ -149,7 +150,7 @@
     {
         if (node.sessions >= node.services.limits.max_connections)
         {
-            // Closed at once: an answer would need a session of its own.
+            // Closed without an answer, which would need a session.
             return;
         }
         auto caller =
@@ -242,7 +243,7 @@
     return settings;
 }
 
-// Ties the parts to each other by the calls they make across threads.
+// Sets the callbacks through which the parts call each other across threads.
 void connect_callbacks(node_runtime& node)
 {
     node.services.record = [&node](const event& seen)
@@ -279,13 +280,13 @@
         seen.kind = event_kind::peer_silent;
         seen.peer = peer;
         seen.detail = absl::StrFormat(
-            "no beat for %d ms: new requests go elsewhere",
+            "no heartbeat for %d ms: new requests avoid this peer",
             peer_avoidance_timeout.count());
         node.services.record(seen);
     };
-    node.control_side.request_claim = [&node](const claim_request& question)
+    node.control_side.request_claim = [&node](const claim_request& request)
     {
-        post_claim_request(node.control, question);
+        post_claim_request(node.control, request);
     };
     node.control_side.complete_claim =
         [&node](const claim_completion& completion)
@@ -359,7 +360,7 @@
     return write_prometheus(node.node_metrics);
 }
 
-// Callers are asked for as soon as their requests can be judged.
+// A node is ready while it has a configuration and is not draining.
 bool is_ready(const node_runtime& node)
 {
     return !node.services.path.draining &&
@@ -419,7 +420,7 @@
         node.running.emplace_back(
             [&io = thread->io]
             {
-                // A thread without connections waits for its first one.
+                // Keeps the thread running while it has no connections.
                 const auto work = asio::make_work_guard(io);
                 io.run();
             });
@@ -437,7 +438,7 @@
         {{"detail", detail}, {"host", to_string(node.services.self)}});
 }
 
-// Requests under way on any thread, asked on that thread.
+// The streams on the peer links of a thread, counted on that thread.
 std::size_t count_open_streams(request_thread& thread)
 {
     std::promise<std::size_t> count;
@@ -460,7 +461,8 @@
     return left;
 }
 
-// Waits until nothing is under way. Returns what is when time is up.
+// Waits until no request is under way, `until` is reached or `stop_now` is set.
+// Returns the number of requests left.
 std::size_t wait_until_drained(
     node_runtime& node, const std::atomic<bool>& stop_now, time_point until)
 {
@@ -496,8 +498,8 @@
     }
 }
 
-// Ends all connections and lets their coroutines run to their ends, while the
-// contexts that they belong to still exist. The threads have stopped.
+// Closes all connections and runs their coroutines to the end while their
+// contexts still exist. To be called after the threads have stopped.
 void release_connections(node_runtime& node)
 {
     close_acceptors(node);
@@ -624,9 +626,9 @@
     }
     asio::post(
         node.control.io,
-        [&node, trust = next.max_key_staleness]
+        [&node, staleness = next.max_key_staleness]
         {
-            node.control.max_key_staleness = trust;
+            node.control.max_key_staleness = staleness;
         });
     const bool needs_restart = next.name != node.settings.name ||
                                next.listen != node.settings.listen ||
@@ -648,7 +650,8 @@
 {
     record_lifecycle(node, event_kind::node_stopping, node.settings.name);
     const time_point until = now() + node.settings.stop_timeout;
-    // Callers are served on, each told to open its next connection elsewhere.
+    // Callers are still served, but each reply closes its connection, so that
+    // the next one is opened to another node.
     node.services.path.draining = true;
     post_leave(node.control);
     wait_or_stop_now(stop_now, leave_propagation_time);
@@ -665,14 +668,15 @@
                 }
             });
     }
-    // Callers may come until the end: a port that is closed tells them less
-    // than an answer.
+    // The port for callers stays open until the end: a refusal gives them a
+    // reason, a closed port does not.
     const time_point last_new = now() + (until - now()) * 2 / 5;
     std::size_t left = wait_until_drained(node, stop_now, last_new);
     node.services.path.refuses_new = true;
     left = wait_until_drained(node, stop_now, until);
     record_lifecycle(
-        node, event_kind::node_stopped, std::to_string(left) + " cut");
+        node, event_kind::node_stopped,
+        std::to_string(left) + " requests unfinished");
     stop_threads(node);
     return {left};
 }
--- a/src/adapters/node_runtime.hpp
+++ b/src/adapters/node_runtime.hpp
@@ -1,4 +1,4 @@
-// A whole node: its threads, ports and shared parts, from settings to a planned
+// A complete node: its threads, ports and shared parts, from start to planned
 // stop.
 #pragma once
 
@@ -22,7 +22,7 @@
 namespace cyclamenhold
 {
 
-// The ports that were bound, for settings that ask for any free one.
+// The bound ports, for settings that request any free port.
 struct bound_ports
 {
     ip_endpoint callers;
@@ -37,33 +37,33 @@
     std::string operator_credential;
 };
 
-// How a planned stop ended.
+// The result of a planned stop.
 struct stop_report
 {
-    // Requests that were still under way when the bound was reached.
+    // Requests still under way when the wait ended.
     std::size_t unfinished = 0;
 };
 
 struct node_runtime;
 
-// Binds all ports and starts all threads. Nothing is left running when it
-// fails.
+// Binds all ports and starts all threads. After an error nothing is left
+// running.
 [[nodiscard]] absl::StatusOr<std::shared_ptr<node_runtime>> start_node(
     const node_settings& settings, const node_secrets& secrets,
     const protocol_profile& profile, const json_log& log);
 
 [[nodiscard]] bound_ports ports_of(const node_runtime& node);
 
-// Takes a changed settings file. What can change while the node runs does so
-// at once; what can't is named in the log. A file with findings changes
-// nothing.
+// Applies a changed settings file. Settings that can change while the node runs
+// take effect at once; those that need a restart are named in the log. A file
+// with findings changes nothing.
 void reload_node(node_runtime& node, const settings_result& read);
 
-// True once an operator has asked for the node's planned stop.
+// True once an operator has requested the planned stop of the node.
 [[nodiscard]] bool stop_requested(const node_runtime& node);
 
-// Stops gracefully: tells the fleet, takes no new work, finishes what is under
-// way. `stop_now` ends the wait when it becomes true.
+// Stops gracefully: announces the stop to the fleet, refuses new requests and
+// finishes those under way. The wait ends early when `stop_now` becomes true.
 [[nodiscard]] stop_report
 stop_node(node_runtime& node, const std::atomic<bool>& stop_now);
 
--- a/src/adapters/node_services.hpp
+++ b/src/adapters/node_services.hpp
@@ -1,6 +1,6 @@
-// What the adapters of one node share: the request path, the gate's front, the
-// clock of events and the ways to reach the other threads. Built once by the
-// node's runtime and alive until all threads have stopped.
+// State and functions that the adapters of one node share: the request path,
+// the upstream gate, the event clock and calls to the other threads. Built once
+// by node_runtime; exists until all threads have stopped.
 #pragma once
 
 #include "adapters/exchange.hpp"
@@ -31,9 +31,10 @@
     std::uint32_t max_connections = 10'000;
 };
 
-// A peer link sends one of these each interval, and gives a link up that has
-// been silent for the timeout. New requests avoid a peer sooner: it costs them
-// nothing, while those under way may still be answered.
+// Each side of a peer link sends a heartbeat per interval, and closes a link on
+// which nothing was received for heartbeat_timeout. New requests avoid a peer
+// sooner, after peer_avoidance_timeout: another host costs them nothing, while
+// requests under way may still be answered.
 constexpr auto heartbeat_interval = std::chrono::milliseconds(250);
 constexpr auto peer_avoidance_timeout = std::chrono::milliseconds(600);
 constexpr auto heartbeat_timeout = std::chrono::milliseconds(2'000);
@@ -44,7 +45,7 @@
     incarnation self_incarnation = 0;
     std::string fleet_secret;
     protocol_profile profile;
-    // The service of the upstream on this host, as the settings give it.
+    // The service of the upstream on this host, from the settings.
     std::string local_service;
     http_limits limits;
     request_path path;
@@ -53,15 +54,17 @@
 
     // Records an event; callable from any thread.
     std::function<void(const event&)> record;
-    // The hybrid clock for a frame that leaves, and of one that came.
+    // Advance the hybrid clock: stamp_send returns the time for an outgoing
+    // frame, record_receive applies the time of an incoming one.
     std::function<hybrid_time()> stamp_send;
     std::function<void(hybrid_time)> record_receive;
-    // Runs a request that came for the local upstream, from any thread.
+    // Runs a request at the local upstream; callable from any thread.
     std::function<void(const exchange_ptr&)> run_local;
-    // Hands a control message of a peer to the control thread.
+    // Posts a control message of a peer to the control thread.
     std::function<void(host_id, message_kind, std::vector<std::uint8_t>)>
         on_control_message;
-    // The peer has been silent for longer than is usual.
+    // Called when nothing was received from the peer for longer than
+    // peer_avoidance_timeout.
     std::function<void(host_id)> on_peer_silent;
 };
 
--- a/src/adapters/peer_handshake.cpp
+++ b/src/adapters/peer_handshake.cpp
@@ -27,7 +27,7 @@
     handshake_nonce nonce{};
     if (RAND_bytes(nonce.data(), static_cast<int>(nonce.size())) != 1)
     {
-        // Without randomness no link can be told from a replay.
+        // Without random nonces a replayed proof would be valid.
         std::abort();
     }
     return nonce;
--- a/src/adapters/peer_handshake.hpp
+++ b/src/adapters/peer_handshake.hpp
@@ -1,6 +1,6 @@
-// The proofs of a peer handshake. Each side sends a fresh number and signs the
-// other's together with both hosts and its own role, so that neither an old
-// proof nor a reflected one is worth anything.
+// The proofs of a peer handshake. Each side sends a fresh nonce and an HMAC of
+// both nonces, both hosts and its own role, so that neither a replayed nor a
+// reflected proof is valid.
 #pragma once
 
 #include "core/base/ids.hpp"
@@ -28,14 +28,14 @@
 // Fresh random bytes.
 [[nodiscard]] handshake_nonce make_nonce();
 
-// What the side in `role` proves with. `own` and `other` are the two sides'
-// hosts and nonces as that side sees them.
+// The proof that the side in `role` sends: an HMAC-SHA256 under the fleet
+// secret. `own_*` belongs to that side, `other_*` to its peer.
 [[nodiscard]] handshake_proof make_proof(
     std::string_view fleet_secret, handshake_role role, host_id own_host,
     const handshake_nonce& own_nonce, host_id other_host,
     std::span<const std::uint8_t> other_nonce);
 
-// Compares in constant time.
+// Compares two proofs in constant time.
 [[nodiscard]] bool
 equal_proofs(std::span<const std::uint8_t> left, const handshake_proof& right);
 
--- a/src/adapters/peer_socket.cpp
+++ b/src/adapters/peer_socket.cpp
@@ -12,11 +12,10 @@
 {
 
 constexpr std::size_t read_size_bytes = 64 * 1024;
-// Bounds one wait for send_capacity_signal, after which the condition is looked
-// at again.
+// Bounds one wait for send capacity; the condition is checked again after it.
 constexpr auto max_send_capacity_wait = std::chrono::seconds(1);
 
-// Moves a whole frame from the receive buffer to `payload`, if there is one.
+// Moves a complete frame from the receive buffer to `payload`, if there is one.
 bool extract_frame(
     peer_socket& peer, std::vector<std::uint8_t>& payload, bool& too_long)
 {
@@ -39,8 +38,7 @@
     return true;
 }
 
-// Moves what is left to the front and makes send_capacity_signal for another
-// read.
+// Moves the unread bytes to the front and makes space for another read.
 void compact_receive_buffer(peer_socket& peer)
 {
     const std::size_t left = peer.received_end - peer.received_begin;
@@ -86,7 +84,7 @@
     return nonce;
 }
 
-// Reads the other side's hello and remembers who it says it is.
+// Reads the peer's hello and stores the identity that it claims.
 asio::awaitable<absl::Status>
 receive_hello(peer_socket& peer, handshake_nonce& nonce)
 {
@@ -100,7 +98,8 @@
     const auto* const hello = frame ? frame->body_as_hello() : nullptr;
     if (hello == nullptr || !is_valid_hello(*hello))
     {
-        co_return absl::InvalidArgumentError("not a hello of this protocol");
+        co_return absl::InvalidArgumentError(
+            "expected a hello of this protocol version");
     }
     peer.peer = static_cast<host_id>(hello->host());
     peer.peer_incarnation = hello->incarnation();
@@ -122,7 +121,8 @@
     if (proof == nullptr ||
         !equal_proofs({proof->mac()->data(), proof->mac()->size()}, expected))
     {
-        co_return absl::PermissionDeniedError("the proof is wrong");
+        co_return absl::PermissionDeniedError(
+            "the handshake proof does not match");
     }
     co_return absl::OkStatus();
 }
@@ -137,7 +137,8 @@
     {
         if (too_long)
         {
-            co_return absl::InvalidArgumentError("the frame is too long");
+            co_return absl::InvalidArgumentError(
+                "the frame is longer than the maximum");
         }
         compact_receive_buffer(peer);
         const auto [error, count] = co_await peer.socket.async_read_some(
@@ -201,7 +202,8 @@
     }
     if (peer->peer != expected)
     {
-        co_return absl::PermissionDeniedError("another host answered");
+        co_return absl::PermissionDeniedError(
+            "a host other than the dialled one answered");
     }
     encode_proof(
         peer->pending, make_proof(
--- a/src/adapters/peer_socket.hpp
+++ b/src/adapters/peer_socket.hpp
@@ -29,15 +29,15 @@
     }
 
     asio::ip::tcp::socket socket;
-    // The other side, once the handshake is done.
+    // The identity of the peer; proven once the handshake is done.
     host_id peer = host_id::none;
     incarnation peer_incarnation = 0;
     bool closed = false;
     time_point last_received_at{};
     time_point written_at{};
 
-    // Bytes read and not yet taken are from `received_begin` to
-    // `received_end`; the vector only grows.
+    // The bytes read and not yet extracted are from `received_begin` to
+    // `received_end`; the vector never shrinks.
     std::vector<std::uint8_t> received;
     std::size_t received_begin = 0;
     std::size_t received_end = 0;
@@ -45,7 +45,7 @@
     std::vector<std::uint8_t> pending;
     std::vector<std::uint8_t> in_flight;
     bool writing = false;
-    // Cancelled when `pending` has become short again.
+    // Cancelled when `pending` has been emptied into a write.
     asio::steady_timer send_capacity_signal;
 };
 
@@ -62,7 +62,8 @@
 // Starts writing what is pending, unless a write is under way.
 void flush(const peer_socket_ptr& peer);
 
-// Waits until less than max_pending_bytes are pending, or the end.
+// Waits until at most max_pending_bytes are pending or the connection is
+// closed.
 [[nodiscard]] asio::awaitable<void> wait_for_send_capacity(peer_socket& peer);
 
 void close(peer_socket& peer);
@@ -74,7 +75,7 @@
     std::string_view fleet_secret;
 };
 
-// Runs the dialler's side; `expected` is the host that was dialled.
+// Runs the dialler's side of the handshake; `expected` is the dialled host.
 [[nodiscard]] asio::awaitable<absl::Status> handshake_as_dialler(
     peer_socket_ptr peer, handshake_identity identity, host_id expected);
 
--- a/src/adapters/peer_streams.cpp
+++ b/src/adapters/peer_streams.cpp
@@ -40,8 +40,8 @@
     co_return !stream->finished && !link->connection->closed;
 }
 
-// Sends a piece of a body, and its end behind the last one.
-// `bytes` outlives the call.
+// Sends a piece of a body, followed by the end frame if it is the last one.
+// `bytes` must outlive the call.
 asio::awaitable<bool> send_piece(
     peer_link_ptr link, peer_stream_ptr stream, std::uint64_t id,
     const std::string& bytes, bool last)
@@ -66,7 +66,8 @@
     co_return true;
 }
 
-// Moves the request's body to the peer; a closed channel cancels the stream.
+// Sends the request's body to the peer, until its end or until the channel is
+// closed.
 asio::awaitable<void>
 pump_body(peer_link_ptr link, peer_stream_ptr stream, std::uint64_t id)
 {
@@ -90,7 +91,7 @@
     }
 }
 
-// Gives the sender of a body credit for what has been consumed here.
+// Grants the sender of a body credit for the bytes consumed here.
 void grant_consumed(
     const peer_link_ptr& link, const peer_stream_ptr& stream, std::uint64_t id,
     std::size_t bytes)
@@ -148,7 +149,7 @@
     }
 }
 
-// Lets the peer send the rest of the body of a request that has started.
+// Grants the peer the full window for the body of a request that has started.
 void grant_stream_window(
     const peer_link_ptr& link, const peer_stream_ptr& stream, std::uint64_t id)
 {
@@ -157,7 +158,7 @@
     flush(link->connection);
 }
 
-// Moves the reply of a request that came from the peer back to it.
+// Sends the reply of a request that was received from the peer.
 asio::awaitable<void>
 pump_reply(peer_link_ptr link, peer_stream_ptr stream, std::uint64_t id)
 {
@@ -233,7 +234,7 @@
     link->services.run_local(work);
 }
 
-// Ends a stream whose peer broke the protocol or whose body does not add up.
+// Ends a stream after a protocol error, a wrong checksum or a full channel.
 void abort_stream(
     const peer_link_ptr& link, const peer_stream_ptr& stream, std::uint64_t id)
 {
@@ -284,7 +285,7 @@
     stream->receive_credit -= static_cast<std::int64_t>(bytes.size());
     if (stream->receive_credit < 0)
     {
-        record_bad_frame(*link, "a body is longer than its credit");
+        record_bad_frame(*link, "a body exceeds its flow-control credit");
         abort_stream(link, stream, data.stream());
         return;
     }
@@ -299,7 +300,7 @@
     if (end.length() != stream->received.length ||
         end.checksum() != stream->received.checksum())
     {
-        record_bad_frame(*link, "a body does not match its checksum");
+        record_bad_frame(*link, "a body does not match its length or checksum");
         abort_stream(link, stream, end.stream());
         return;
     }
@@ -354,7 +355,8 @@
     return found == link.streams.end() ? nullptr : found->second;
 }
 
-// Frames of streams that are not known here any more are late and dropped.
+// Calls the handler with the frame's stream. Drops frames of streams that have
+// ended, which may arrive late, and those of the wrong direction.
 template <class Frame, class Handler>
 void with_stream(
     const peer_link_ptr& link, const Frame& frame, bool opened_here,
@@ -367,11 +369,11 @@
     }
 }
 
-void on_heartbeat(const peer_link_ptr& link, const wire::heartbeat& beat)
+void on_heartbeat(const peer_link_ptr& link, const wire::heartbeat& heartbeat)
 {
-    if (!beat.reply())
+    if (!heartbeat.reply())
     {
-        encode_heartbeat(link->connection->pending, beat.sequence(), true);
+        encode_heartbeat(link->connection->pending, heartbeat.sequence(), true);
         flush(link->connection);
     }
 }
@@ -384,7 +386,7 @@
         {payload->begin(), payload->end()});
 }
 
-// True when the frame was one that may come on an established link.
+// Returns false for a frame that is not allowed on an established link.
 bool dispatch_frame(const peer_link_ptr& link, const wire::frame& frame)
 {
     if (frame.clock() != 0)
@@ -501,7 +503,7 @@
     flush(link->connection);
 }
 
-asio::awaitable<void> beat(peer_link_ptr link)
+asio::awaitable<void> send_heartbeats(peer_link_ptr link)
 {
     std::uint64_t sequence = 0;
     while (!link->connection->closed)
@@ -575,7 +577,7 @@
     {
         send_control(link, message);
     }
-    asio::co_spawn(executor_of(*link), beat(link), asio::detached);
+    asio::co_spawn(executor_of(*link), send_heartbeats(link), asio::detached);
     std::vector<std::uint8_t> payload;
     while (!link->connection->closed)
     {
--- a/src/adapters/peer_streams.hpp
+++ b/src/adapters/peer_streams.hpp
@@ -1,6 +1,6 @@
-// The streams on one peer link: requests this node sent there, and requests
-// the peer sent here. Used from the link's thread only; exchanges cross to
-// other threads through their channels.
+// The streams on one peer link: requests that this node sent to the peer, and
+// requests received from it. Used from the link's thread only; exchanges pass
+// data to other threads through their channels.
 #pragma once
 
 #include "adapters/exchange.hpp"
@@ -17,11 +17,11 @@
 namespace cyclamenhold
 {
 
-// The bytes of a reply that may be under way unread, and of a request once it
-// has started; before, max_chunk_bytes.
+// The flow-control window of a reply, and of a request body once the request
+// has started. Until then the window of a request body is max_chunk_bytes.
 constexpr std::uint32_t stream_window_bytes = 256 * 1024;
 
-// Length and checksum of the body that flows one way.
+// Length and checksum (64-bit XXH3) of a body in one direction.
 struct body_digest
 {
     body_digest() : state(XXH3_createState(), XXH3_freeState)
@@ -50,12 +50,13 @@
     }
 
     exchange_ptr work;
-    // Bytes that may still be sent, and the signal that there are more.
+    // Bytes that may still be sent. The signal is cancelled when more are
+    // granted.
     std::int64_t credit = 0;
     asio::steady_timer credit_signal;
-    // Bytes that the peer may still send; fewer is a protocol error.
+    // Bytes that the peer may still send; below zero is a protocol error.
     std::int64_t receive_credit = 0;
-    // Consumed here and not yet receive_credit again.
+    // Bytes consumed here and not yet granted to the peer again.
     std::uint32_t consumed = 0;
     body_digest sent;
     body_digest received;
@@ -80,19 +81,19 @@
     asio::steady_timer heartbeat;
     bool dialled_here = false;
     bool ready = false;
-    // The peer takes no new streams on this link.
+    // The peer accepts no new streams on this link.
     bool going_away = false;
     std::uint64_t next_stream = 1;
     time_point last_used_at{};
     std::unordered_map<std::uint64_t, peer_stream_ptr> streams;
-    // Opened before the handshake was done.
+    // Requests and messages to be sent once the handshake is done.
     std::vector<exchange_ptr> waiting;
     std::vector<outgoing_message> waiting_messages;
 };
 
 using peer_link_ptr = std::shared_ptr<peer_link>;
 
-// Sends a request over the link; its reply comes through the exchange.
+// Sends a request over the link; its reply arrives through the exchange.
 void open_stream(const peer_link_ptr& link, const exchange_ptr& work);
 
 void send_control(const peer_link_ptr& link, const outgoing_message& message);
--- a/src/adapters/platform_client.cpp
+++ b/src/adapters/platform_client.cpp
@@ -36,7 +36,7 @@
     std::size_t pending = 0;
     // The bound of the next random wait.
     duration backoff;
-    // No call is sent before.
+    // No call is sent before this time.
     time_point backoff_until{};
 };
 
@@ -54,7 +54,8 @@
     return reply;
 }
 
-// A random share of the backoff, so that many clients spread out.
+// Waits for a random share of the backoff, so that the calls of many clients
+// spread out.
 void record_failure(platform_connections& client)
 {
     const time_point at = now();
@@ -120,7 +121,7 @@
     if (!reply.ok() || reply->status == platform_status::unavailable ||
         reply->status == platform_status::rejected)
     {
-        // Also a refusal for load is a reason to call less.
+        // A rejection, for example for overload, also starts a backoff.
         record_failure(client);
     }
     else
@@ -169,7 +170,7 @@
         return;
     }
     ++client->pending;
-    // Posted, so that the call never runs inside its sender.
+    // Posted, so that the callback never runs inside this function.
     asio::post(
         executor,
         [client, call = std::move(call), callback = std::move(callback)]
--- a/src/adapters/platform_client.hpp
+++ b/src/adapters/platform_client.hpp
@@ -1,5 +1,5 @@
 // An asynchronous client of the platform's HTTP interface. All calls and
-// callbacks run on the executor it was made with, which must be of one thread.
+// callbacks run on the executor of the client, which must be single-threaded.
 #pragma once
 
 #include "core/base/random.hpp"
@@ -21,12 +21,12 @@
 {
     boost::asio::ip::tcp::endpoint endpoint;
     std::size_t connections = 2;
-    // Watches wait on connections of their own.
+    // Watches have separate connections, which they occupy while they wait.
     std::size_t watch_connections = 4;
     // Calls beyond this number are answered `unavailable` at once.
     std::size_t max_pending_calls = 1'000;
-    // After a failure no connection is made for a random time up to a bound,
-    // which doubles from the first to the last.
+    // After a failure no call is sent for a random time up to a bound, which
+    // doubles with each failure from the initial to the maximum backoff.
     duration initial_backoff = 50ms;
     duration max_backoff = 1s;
     std::uint64_t seed = 1;
@@ -37,13 +37,13 @@
 
 struct platform_connections;
 
-// Makes a client; connections are made as calls need them.
+// Makes a client; connections are opened on demand.
 [[nodiscard]] std::shared_ptr<platform_connections> make_platform_connections(
     const boost::asio::any_io_executor& executor,
     const platform_connection_settings& settings);
 
 // Sends a call. The callback runs exactly once, never from inside this
-// function, at the latest at the call's timeout (for a watch its wait and
+// function, at the latest at the call's timeout (for a watch, its wait plus
 // timeout), unless the executor's context stops first.
 void platform_client_send(
     const std::shared_ptr<platform_connections>& client, platform_call call,
--- a/src/adapters/suspend_detector.hpp
+++ b/src/adapters/suspend_detector.hpp
@@ -1,5 +1,5 @@
-// Notices that the host was suspended: the steady clock stands still
-// meanwhile, the boot-time clock does not. Thread-safe.
+// Detects that the host was suspended: the steady clock stops during a
+// suspension, the boot-time clock does not. Thread-safe.
 #pragma once
 
 #include "core/base/time.hpp"
@@ -13,12 +13,13 @@
 
 struct suspend_detector
 {
-    // By how much the boot-time clock is ahead, in nanoseconds.
-    std::atomic<std::int64_t> lead{0};
+    // By how much the boot-time clock is ahead of the steady clock; zero before
+    // the first reading.
+    std::atomic<std::int64_t> boot_clock_lead_ns{0};
 };
 
-// Tells the first caller after a suspension when it noticed.
+// Returns the present time in the first call after a suspension, else nullopt.
 [[nodiscard]] std::optional<time_point>
-detect_resumption(suspend_detector& watch);
+detect_resumption(suspend_detector& detector);
 
 } // namespace cyclamenhold
--- a/tests/adapters/platform_test.cpp
+++ b/tests/adapters/platform_test.cpp
@@ -22,7 +22,7 @@
 const auto any_port =
     boost::asio::ip::tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0);
 
-// Server and client on one context, driven by the test's thread.
+// Server and client on one context, which the test's thread runs.
 struct platform_fixture
 {
     platform_fixture()
@@ -53,7 +53,7 @@
             {
                 reply = std::move(answer);
             });
-        EXPECT_FALSE(reply) << "called back from inside the send";
+        EXPECT_FALSE(reply) << "the callback ran inside the send";
         EXPECT_TRUE(run_until(
             [&]
             {
@@ -103,14 +103,14 @@
     return call;
 }
 
-// A call as the other end of the connection reads it.
-absl::StatusOr<platform_call> sent_over(const platform_call& call)
+// Encodes and decodes a call, as the client and the server do.
+absl::StatusOr<platform_call> encode_and_decode(const platform_call& call)
 {
     const auto codec = platform::store_codec();
     return codec.decode_call(codec.encode_call(call));
 }
 
-TEST(store_protocol, carries_any_bytes)
+TEST(store_protocol, encodes_arbitrary_bytes)
 {
     const auto codec = platform::store_codec();
     for (const std::string& value :
@@ -122,7 +122,7 @@
             make_call(platform_operation::compare_and_swap, "a key/%&=", value);
         call.expected_version = ~0ULL;
         call.lease = 12;
-        const auto decoded = sent_over(call);
+        const auto decoded = encode_and_decode(call);
         ASSERT_TRUE(decoded.ok()) << decoded.status();
         EXPECT_EQ(decoded->operation, call.operation);
         EXPECT_EQ(decoded->key, call.key);
@@ -143,33 +143,33 @@
     }
 }
 
-TEST(store_protocol, carries_each_call)
+TEST(store_protocol, encodes_each_operation)
 {
     {
-        SCOPED_TRACE("queries keep keys with any character");
+        SCOPED_TRACE("keys in queries may contain any character");
         auto list = make_call(platform_operation::list, "a&b=c d/\xc3\xa9");
         list.after = "a&b=c d/%41";
-        const auto decoded = sent_over(list);
+        const auto decoded = encode_and_decode(list);
         ASSERT_TRUE(decoded.ok());
         EXPECT_EQ(decoded->operation, platform_operation::list);
         EXPECT_EQ(decoded->key, list.key);
         EXPECT_EQ(decoded->after, list.after);
     }
     {
-        SCOPED_TRACE("a watch keeps its revision and its wait");
+        SCOPED_TRACE("a watch is sent with its revision and wait");
         auto watch = make_call(platform_operation::watch, "key/");
         watch.expected_version = 412;
         watch.wait = 2s;
-        const auto decoded = sent_over(watch);
+        const auto decoded = encode_and_decode(watch);
         ASSERT_TRUE(decoded.ok());
         EXPECT_EQ(decoded->expected_version, 412U);
         EXPECT_EQ(decoded->wait, duration(2s));
     }
     {
-        SCOPED_TRACE("leases are granted for fractions of seconds");
+        SCOPED_TRACE("a lease time may be a fraction of a second");
         auto grant = make_call(platform_operation::lease_grant, "");
         grant.lease_time = 1'500ms;
-        const auto decoded = sent_over(grant);
+        const auto decoded = encode_and_decode(grant);
         ASSERT_TRUE(decoded.ok());
         EXPECT_EQ(decoded->lease_time, duration(1'500ms));
     }
@@ -179,16 +179,16 @@
         SCOPED_TRACE(std::string(name_of(operation)));
         auto call = make_call(operation, "");
         call.lease = 77'120;
-        const auto decoded = sent_over(call);
+        const auto decoded = encode_and_decode(call);
         ASSERT_TRUE(decoded.ok());
         EXPECT_EQ(decoded->operation, operation);
         EXPECT_EQ(decoded->lease, 77'120U);
     }
     {
-        SCOPED_TRACE("a deletion keeps its condition");
+        SCOPED_TRACE("a deletion is sent with its expected version");
         auto remove = make_call(platform_operation::compare_and_delete, "k");
         remove.expected_version = 5;
-        const auto decoded = sent_over(remove);
+        const auto decoded = encode_and_decode(remove);
         ASSERT_TRUE(decoded.ok());
         EXPECT_EQ(decoded->operation, platform_operation::compare_and_delete);
         EXPECT_EQ(decoded->key, "k");
@@ -196,27 +196,29 @@
     }
 }
 
-TEST(store_protocol, tells_the_ends_of_calls_apart)
+TEST(store_protocol, maps_http_statuses_to_results)
 {
     const auto codec = platform::store_codec();
-    struct ending
+    struct call_result
     {
         platform_operation operation;
         unsigned http_status;
         platform_status status;
     };
     for (const auto& [operation, http_status, status] :
-         {ending{platform_operation::get, 404, platform_status::not_found},
-          ending{
+         {call_result{platform_operation::get, 404, platform_status::not_found},
+          call_result{
               platform_operation::lease_renew, 404,
               platform_status::lease_expired},
-          ending{
+          call_result{
               platform_operation::compare_and_swap, 404,
               platform_status::lease_expired},
-          ending{platform_operation::watch, 410, platform_status::history_lost},
-          ending{platform_operation::get, 429, platform_status::rejected},
-          ending{platform_operation::get, 403, platform_status::rejected},
-          ending{platform_operation::get, 503, platform_status::unavailable}})
+          call_result{
+              platform_operation::watch, 410, platform_status::history_lost},
+          call_result{platform_operation::get, 429, platform_status::rejected},
+          call_result{platform_operation::get, 403, platform_status::rejected},
+          call_result{
+              platform_operation::get, 503, platform_status::unavailable}})
     {
         SCOPED_TRACE(http_status);
         const auto reply = codec.decode_reply(
@@ -225,7 +227,7 @@
         EXPECT_EQ(reply->status, status);
     }
     {
-        SCOPED_TRACE("a conflict shows the present entry");
+        SCOPED_TRACE("a conflict returns the current entry");
         const auto call =
             make_call(platform_operation::compare_and_swap, "key");
         const auto reply = codec.decode_reply(
@@ -235,7 +237,7 @@
         EXPECT_EQ(reply->entries.at(0).value, "x");
     }
     {
-        SCOPED_TRACE("events of others that cannot be read are passed over");
+        SCOPED_TRACE("malformed events of other writers are skipped");
         const auto reply = codec.decode_reply(
             make_call(platform_operation::watch, "k"),
             {200, R"({"events":[5,{"key":"k1","value":"?","rev":1},)"
@@ -254,7 +256,7 @@
             .ok());
 }
 
-TEST(store_protocol, refuses_what_is_no_call)
+TEST(store_protocol, rejects_malformed_calls)
 {
     const auto codec = platform::store_codec();
     for (const platform_request& request :
@@ -273,7 +275,7 @@
     }
 }
 
-TEST(platform_over_http, story_of_a_value)
+TEST(platform_over_http, creates_reads_and_deletes_a_value)
 {
     platform_fixture platform;
     std::uint64_t version = 0;
@@ -316,7 +318,7 @@
             << calls.body;
     }
     {
-        SCOPED_TRACE("it is deleted at its version only");
+        SCOPED_TRACE("a deletion needs the current version");
         auto call =
             make_call(platform_operation::compare_and_delete, "change/1");
         EXPECT_EQ(platform.send(call).status, platform_status::conflict);
@@ -353,7 +355,7 @@
     EXPECT_EQ(seen->entries.at(0).key, "key/a");
 }
 
-TEST(platform_over_http, leases_and_their_lapse)
+TEST(platform_over_http, lease_renewal_and_expiry)
 {
     platform_fixture platform;
     auto grant = make_call(platform_operation::lease_grant, "");
@@ -385,14 +387,14 @@
         EXPECT_EQ(platform.send(read).status, platform_status::unavailable);
     }
     {
-        SCOPED_TRACE("down, and back again");
+        SCOPED_TRACE("the server is down, then up again");
         platform.http("PUT", "/v1/faults", R"({"slow_ms":0,"down":true})");
         EXPECT_EQ(platform.send(read).status, platform_status::unavailable);
         platform.http("PUT", "/v1/faults", R"({"down":false})");
         EXPECT_EQ(platform.send(read).status, platform_status::ok);
     }
     {
-        SCOPED_TRACE("unknown faults are all named, none is set");
+        SCOPED_TRACE("all unknown faults are reported, none is set");
         const auto reply = platform.http(
             "PUT", "/v1/faults", R"({"down":true,"odd":1,"slow_ms":"x"})");
         EXPECT_EQ(reply.http_status, 400U);
@@ -402,7 +404,7 @@
     }
 }
 
-TEST(platform_over_http, nothing_listens)
+TEST(platform_over_http, no_server_listens)
 {
     platform_fixture platform;
     platform.settings.endpoint.port(1);
