--- a/src/adapters/control_loop.cpp
+++ b/src/adapters/control_loop.cpp
@@ -79,13 +79,14 @@
     if (are_fresh != loop.are_keys_fresh)
     {
         loop.are_keys_fresh = are_fresh;
-        event seen;
-        seen.kind = are_fresh ? event_kind::platform_available
-                              : event_kind::platform_unavailable;
-        seen.detail = are_fresh ? "keys are accepted again"
-                                : "keys are refused: the configuration was not "
-                                  "confirmed in time";
-        loop.services.record(seen);
+        event new_event;
+        new_event.kind = are_fresh ? event_kind::platform_available
+                                   : event_kind::platform_unavailable;
+        new_event.detail = are_fresh
+                               ? "keys are accepted again"
+                               : "keys are refused: the configuration was not "
+                                 "confirmed in time";
+        loop.services.record(new_event);
     }
 }
 
@@ -155,14 +156,14 @@
 
 void on_platform_reply(control_loop& loop, const platform_reply& reply)
 {
-    const bool reachable = reply.status != platform_status::unavailable;
-    if (reachable != loop.platform_reachable)
+    const bool is_reachable = reply.status != platform_status::unavailable;
+    if (is_reachable != loop.platform_reachable)
     {
-        loop.platform_reachable = reachable;
-        event seen;
-        seen.kind = reachable ? event_kind::platform_available
-                              : event_kind::platform_unavailable;
-        loop.services.record(seen);
+        loop.platform_reachable = is_reachable;
+        event new_event;
+        new_event.kind = is_reachable ? event_kind::platform_available
+                                      : event_kind::platform_unavailable;
+        loop.services.record(new_event);
     }
     run_control_event(
         loop,
@@ -215,9 +216,9 @@
                 on_platform_reply(loop, reply);
             });
     }
-    for (const auto& seen : actions.events)
+    for (const auto& new_event : actions.events)
     {
-        loop.services.record(seen);
+        loop.services.record(new_event);
     }
 }
 
@@ -231,14 +232,15 @@
     set_upstream(
         loop.gate, *record,
         {loop.upstream.endpoint, loop.upstream.id, loop.upstream.life});
-    event seen;
-    seen.kind = record->state == upstream_state::draining
-                    ? event_kind::upstream_draining
-                : record->state == upstream_state::absent
-                    ? event_kind::upstream_lost
-                    : event_kind::upstream_announced;
-    seen.detail = record->service + ' ' + std::string(name_of(record->state));
-    loop.services.record(seen);
+    event new_event;
+    new_event.kind = record->state == upstream_state::draining
+                         ? event_kind::upstream_draining
+                     : record->state == upstream_state::absent
+                         ? event_kind::upstream_lost
+                         : event_kind::upstream_announced;
+    new_event.detail =
+        record->service + ' ' + std::string(name_of(record->state));
+    loop.services.record(new_event);
     run_control_event(
         loop,
         [&](control_actions& actions)
@@ -327,12 +329,12 @@
     {
         receive(loop, message);
     };
-    loop.datagrams->on_rejected = [&loop](const char* why)
+    loop.datagrams->on_rejected = [&loop](const char* reason)
     {
-        event seen;
-        seen.kind = event_kind::bad_input;
-        seen.detail = why;
-        loop.services.record(seen);
+        event new_event;
+        new_event.kind = event_kind::bad_input;
+        new_event.detail = reason;
+        loop.services.record(new_event);
     };
     loop.services.path.limiter.on_waiting = [&loop]
     {
--- a/src/adapters/datagram_port.cpp
+++ b/src/adapters/datagram_port.cpp
@@ -61,17 +61,18 @@
     if (sequence > window.newest)
     {
         const std::uint64_t shift = sequence - window.newest;
-        window.seen = shift < window_width ? window.seen << shift : 0;
-        window.seen |= 1;
+        window.received_bits =
+            shift < window_width ? window.received_bits << shift : 0;
+        window.received_bits |= 1;
         window.newest = sequence;
         return true;
     }
     const std::uint64_t age = window.newest - sequence;
-    if (age >= window_width || (window.seen >> age & 1) != 0)
+    if (age >= window_width || (window.received_bits >> age & 1) != 0)
     {
         return false;
     }
-    window.seen |= std::uint64_t{1} << age;
+    window.received_bits |= std::uint64_t{1} << age;
     return true;
 }
 
@@ -139,12 +140,12 @@
 
 asio::awaitable<void> run_datagrams(datagram_port& port)
 {
-    std::vector<std::uint8_t> space(max_datagram_bytes);
+    std::vector<std::uint8_t> buffer(max_datagram_bytes);
     while (port.socket.is_open())
     {
         asio::ip::udp::endpoint from;
         const auto [error, count] = co_await port.socket.async_receive_from(
-            asio::buffer(space), from, asio::as_tuple(asio::use_awaitable));
+            asio::buffer(buffer), from, asio::as_tuple(asio::use_awaitable));
         if (error == asio::error::operation_aborted)
         {
             co_return;
@@ -154,7 +155,8 @@
             continue;
         }
         port.bytes_received += count;
-        const auto message = open_datagram(port, std::span(space).first(count));
+        const auto message =
+            open_datagram(port, std::span(buffer).first(count));
         if (!message)
         {
             port.on_rejected(
--- a/src/adapters/datagram_port.hpp
+++ b/src/adapters/datagram_port.hpp
@@ -27,7 +27,7 @@
     incarnation sender_incarnation = 0;
     std::uint64_t newest = 0;
     // Bit n is set if the number `newest - n` was received.
-    std::uint64_t seen = 0;
+    std::uint64_t received_bits = 0;
 };
 
 // Records the number; true if it is new. Numbers below the window and
--- a/src/adapters/node_runtime.cpp
+++ b/src/adapters/node_runtime.cpp
@@ -90,11 +90,11 @@
 
 void bind_ports(node_runtime& node)
 {
-    auto& first = node.threads.front()->io;
+    auto& first_io = node.threads.front()->io;
     const auto& listen = node.settings.listen;
-    node.callers_acceptor = open_acceptor(first, listen.callers);
-    node.upstream_acceptor = open_acceptor(first, listen.upstream);
-    node.peers_acceptor = open_acceptor(first, listen.peers);
+    node.callers_acceptor = open_acceptor(first_io, listen.callers);
+    node.upstream_acceptor = open_acceptor(first_io, listen.upstream);
+    node.peers_acceptor = open_acceptor(first_io, listen.peers);
     node.operators_acceptor = open_acceptor(node.control.io, listen.operators);
     if (listen.ready)
     {
@@ -246,10 +246,10 @@
 // Sets the callbacks through which the parts call each other across threads.
 void connect_callbacks(node_runtime& node)
 {
-    node.services.record = [&node](const event& seen)
+    node.services.record = [&node](const event& new_event)
     {
-        node.events->record(seen);
-        log_decision(node.decisions, node.log, seen);
+        node.events->record(new_event);
+        log_decision(node.decisions, node.log, new_event);
     };
     node.services.stamp_send = [&node]
     {
@@ -276,13 +276,13 @@
         {
             return;
         }
-        event seen;
-        seen.kind = event_kind::peer_silent;
-        seen.peer = peer;
-        seen.detail = absl::StrFormat(
+        event new_event;
+        new_event.kind = event_kind::peer_silent;
+        new_event.peer = peer;
+        new_event.detail = absl::StrFormat(
             "no heartbeat for %d ms: new requests avoid this peer",
             peer_avoidance_timeout.count());
-        node.services.record(seen);
+        node.services.record(new_event);
     };
     node.control_side.request_claim = [&node](const claim_request& request)
     {
@@ -328,15 +328,15 @@
 
 operator_reply events_reply(node_runtime& node, const std::string& target)
 {
-    const auto [query, found] = read_event_query(target);
-    if (found.empty())
+    const auto [query, findings] = read_event_query(target);
+    if (findings.empty())
     {
         return {
             200, "application/json",
             write_event_page(node.events->page(query))};
     }
     boost::json::array list;
-    for (const auto& [place, message] : found)
+    for (const auto& [place, message] : findings)
     {
         list.push_back(
             boost::json::object{{"place", place}, {"message", message}});
@@ -429,10 +429,10 @@
 
 void record_lifecycle(node_runtime& node, event_kind kind, std::string detail)
 {
-    event seen;
-    seen.kind = kind;
-    seen.detail = detail;
-    node.services.record(seen);
+    event new_event;
+    new_event.kind = kind;
+    new_event.detail = detail;
+    node.services.record(new_event);
     write_log(
         node.log, log_level::info, std::string(name_of(kind)),
         {{"detail", detail}, {"host", to_string(node.services.self)}});
@@ -512,8 +512,8 @@
             caller->stream.close();
         }
     }
-    constexpr int rounds = 10;
-    for (int round = 0; round < rounds; ++round)
+    constexpr int poll_rounds = 10;
+    for (int round = 0; round < poll_rounds; ++round)
     {
         for (const auto& thread : node.threads)
         {
@@ -608,14 +608,14 @@
     return node.ports;
 }
 
-void reload_node(node_runtime& node, const settings_result& read)
+void reload_node(node_runtime& node, const settings_result& result)
 {
-    const auto& [next, found] = read;
-    if (!found.empty())
+    const auto& [next, findings] = result;
+    if (!findings.empty())
     {
         write_log(
             node.log, log_level::error, "settings-rejected",
-            {{"detail", to_string(found)}});
+            {{"detail", to_string(findings)}});
         return;
     }
     node.settings.stop_timeout = next.stop_timeout;
@@ -670,8 +670,8 @@
     }
     // The port for callers stays open until the end: a refusal gives them a
     // reason, a closed port does not.
-    const time_point last_new = now() + (until - now()) * 2 / 5;
-    std::size_t left = wait_until_drained(node, stop_now, last_new);
+    const time_point refusal_start = now() + (until - now()) * 2 / 5;
+    std::size_t left = wait_until_drained(node, stop_now, refusal_start);
     node.services.path.refuses_new = true;
     left = wait_until_drained(node, stop_now, until);
     record_lifecycle(
--- a/src/adapters/node_runtime.hpp
+++ b/src/adapters/node_runtime.hpp
@@ -57,7 +57,7 @@
 // Applies a changed settings file. Settings that can change while the node runs
 // take effect at once; those that need a restart are named in the log. A file
 // with findings changes nothing.
-void reload_node(node_runtime& node, const settings_result& read);
+void reload_node(node_runtime& node, const settings_result& result);
 
 // True once an operator has requested the planned stop of the node.
 [[nodiscard]] bool stop_requested(const node_runtime& node);
--- a/src/adapters/peer_links.cpp
+++ b/src/adapters/peer_links.cpp
@@ -27,11 +27,11 @@
 void record(
     node_services& services, event_kind kind, host_id peer, std::string detail)
 {
-    event seen;
-    seen.kind = kind;
-    seen.peer = peer;
-    seen.detail = std::move(detail);
-    services.record(seen);
+    event new_event;
+    new_event.kind = kind;
+    new_event.peer = peer;
+    new_event.detail = std::move(detail);
+    services.record(new_event);
 }
 
 asio::awaitable<void> wait_for_connect_timeout(asio::any_io_executor executor)
--- a/src/adapters/peer_streams.cpp
+++ b/src/adapters/peer_streams.cpp
@@ -202,11 +202,11 @@
 
 void record_bad_frame(const peer_link& link, std::string detail)
 {
-    event seen;
-    seen.kind = event_kind::bad_input;
-    seen.peer = link.connection->peer;
-    seen.detail = std::move(detail);
-    link.services.record(seen);
+    event new_event;
+    new_event.kind = event_kind::bad_input;
+    new_event.peer = link.connection->peer;
+    new_event.detail = std::move(detail);
+    link.services.record(new_event);
 }
 
 // Starts a request that the peer opened.
@@ -510,11 +510,11 @@
     {
         if (now() - link->connection->last_received_at > heartbeat_timeout)
         {
-            event seen;
-            seen.kind = event_kind::peer_silent;
-            seen.peer = link->connection->peer;
-            seen.detail = "the link is given up";
-            link->services.record(seen);
+            event new_event;
+            new_event.kind = event_kind::peer_silent;
+            new_event.peer = link->connection->peer;
+            new_event.detail = "the link is given up";
+            link->services.record(new_event);
             end_link(link);
             co_return;
         }
--- a/src/adapters/platform_client.cpp
+++ b/src/adapters/platform_client.cpp
@@ -21,12 +21,12 @@
 {
     platform_connections(
         const asio::any_io_executor& executor,
-        const platform_connection_settings& from)
-        : settings(from),
-          calls(executor, from.endpoint, from.connections),
-          watches(executor, from.endpoint, from.watch_connections),
-          random(from.seed),
-          backoff(from.initial_backoff)
+        const platform_connection_settings& initial)
+        : settings(initial),
+          calls(executor, initial.endpoint, initial.connections),
+          watches(executor, initial.endpoint, initial.watch_connections),
+          random(initial.seed),
+          backoff(initial.initial_backoff)
     {
     }
     platform_connection_settings settings;
@@ -54,8 +54,8 @@
     return reply;
 }
 
-// Waits for a random share of the backoff, so that the calls of many clients
-// spread out.
+// Sends no call for a random share of the backoff, so that the calls of many
+// clients spread out.
 void record_failure(platform_connections& client)
 {
     const time_point at = now();
--- a/src/adapters/platform_client.hpp
+++ b/src/adapters/platform_client.hpp
@@ -26,7 +26,7 @@
     // Calls beyond this number are answered `unavailable` at once.
     std::size_t max_pending_calls = 1'000;
     // After a failure no call is sent for a random time up to a bound, which
-    // doubles with each failure from the initial to the maximum backoff.
+    // doubles from the initial to the maximum backoff.
     duration initial_backoff = 50ms;
     duration max_backoff = 1s;
     std::uint64_t seed = 1;
--- a/tests/adapters/platform_test.cpp
+++ b/tests/adapters/platform_test.cpp
@@ -72,9 +72,9 @@
         std::optional<http_result> result;
         boost::asio::co_spawn(
             context, http_send(pool, std::move(call)),
-            [&](const std::exception_ptr&, http_result got)
+            [&](const std::exception_ptr&, http_result received)
             {
-                result = std::move(got);
+                result = std::move(received);
             });
         EXPECT_TRUE(run_until(
             [&]
@@ -133,13 +133,13 @@
         platform_reply reply;
         reply.entries.push_back({"a key/%&=", value, 9});
         reply.revision = 11;
-        const auto back =
+        const auto decoded_reply =
             codec.decode_reply(read, codec.encode_reply(read, reply));
-        ASSERT_TRUE(back.ok()) << back.status();
-        ASSERT_EQ(back->entries.size(), 1U);
-        EXPECT_EQ(back->entries[0].value, value);
-        EXPECT_EQ(back->entries[0].version, 9U);
-        EXPECT_EQ(back->revision, 11U);
+        ASSERT_TRUE(decoded_reply.ok()) << decoded_reply.status();
+        ASSERT_EQ(decoded_reply->entries.size(), 1U);
+        EXPECT_EQ(decoded_reply->entries[0].value, value);
+        EXPECT_EQ(decoded_reply->entries[0].version, 9U);
+        EXPECT_EQ(decoded_reply->revision, 11U);
     }
 }
 
@@ -332,12 +332,12 @@
     platform_fixture platform;
     auto watch = make_call(platform_operation::watch, "key/");
     watch.wait = 5s;
-    std::optional<platform_reply> seen;
+    std::optional<platform_reply> watch_reply;
     platform_client_send(
         platform.client, watch,
         [&](platform_reply reply)
         {
-            seen = std::move(reply);
+            watch_reply = std::move(reply);
         });
     ASSERT_TRUE(platform.run_until(
         [&]
@@ -349,10 +349,10 @@
     ASSERT_TRUE(platform.run_until(
         [&]
         {
-            return seen.has_value();
+            return watch_reply.has_value();
         }));
-    EXPECT_EQ(seen->status, platform_status::ok);
-    EXPECT_EQ(seen->entries.at(0).key, "key/a");
+    EXPECT_EQ(watch_reply->status, platform_status::ok);
+    EXPECT_EQ(watch_reply->entries.at(0).key, "key/a");
 }
 
 TEST(platform_over_http, lease_renewal_and_expiry)
