--- a/src/adapters/control_loop.cpp
+++ b/src/adapters/control_loop.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-void carry_out(control_loop& loop, control_actions actions);
+void execute_actions(control_loop& loop, control_actions actions);
 
 // The processor time of this thread.
 std::uint64_t thread_time_us()
@@ -35,14 +35,14 @@
             locations, loop.state.membership.settings.data_centre, *previous));
     }
     loop.services.path.routing.publish(std::move(next));
-    if (loop.retry_slack > 0)
+    if (loop.fleet_retry_slack > 0)
     {
-        // Half, since the repeats of calls of repeated requests come on top.
+        // Half, because retried requests make calls whose retries add to these.
         const double hosts =
             static_cast<double>(loop.state.membership.members.size()) + 1.0;
         set_max_service_tokens(
             loop.services.path.retries,
-            std::max(1.0, loop.retry_slack / 2.0 / hosts));
+            std::max(1.0, loop.fleet_retry_slack / 2.0 / hosts));
     }
 }
 
@@ -57,10 +57,11 @@
         build_request_tables(*loop.published_configuration)));
 }
 
-// Says until when keys may be trusted without a newer proof.
-void publish_key_trust(control_loop& loop)
+// Publishes until when keys are accepted unless the configuration is confirmed
+// again. Records an event when keys become stale or fresh.
+void publish_key_freshness(control_loop& loop)
 {
-    if (loop.key_trust == duration::zero())
+    if (loop.max_key_staleness == duration::zero())
     {
         return;
     }
@@ -69,21 +70,23 @@
     const bool is_older_than_suspension =
         confirmed.time_since_epoch().count() <=
         loop.services.path.resumed_at.load(std::memory_order_relaxed);
-    const time_point until =
-        is_older_than_suspension ? time_point{} : confirmed + loop.key_trust;
+    const time_point until = is_older_than_suspension
+                                 ? time_point{}
+                                 : confirmed + loop.max_key_staleness;
     loop.services.path.keys_fresh_until.store(
         until.time_since_epoch().count(), std::memory_order_relaxed);
-    const bool trusted = now() < until;
-    if (trusted != loop.are_keys_trusted)
+    const bool are_fresh = now() < until;
+    if (are_fresh != loop.are_keys_fresh)
     {
-        loop.are_keys_trusted = trusted;
-        event seen;
-        seen.kind = trusted ? event_kind::platform_available
-                            : event_kind::platform_unavailable;
-        seen.detail = trusted ? "keys are trusted again"
-                              : "keys are refused: the configuration was not "
-                                "confirmed in time";
-        loop.services.record(seen);
+        loop.are_keys_fresh = are_fresh;
+        event new_event;
+        new_event.kind = are_fresh ? event_kind::platform_available
+                                   : event_kind::platform_unavailable;
+        new_event.detail = are_fresh
+                               ? "keys are accepted again"
+                               : "keys are refused: the configuration was not "
+                                 "confirmed in time";
+        loop.services.record(new_event);
     }
 }
 
@@ -99,7 +102,7 @@
             build_quarantine_view(loop.state.quarantine)));
 }
 
-void wake_waiting(control_loop& loop)
+void resume_waiting_calls(control_loop& loop)
 {
     const auto results = settle_waiters(loop.services.path.limiter, now());
     for (const token_waiter waiter : results.admitted)
@@ -133,35 +136,36 @@
 
 void arm_timer(control_loop& loop);
 
-// Runs one step of the control core and then what follows from it.
-template <class Step>
-void run_step(control_loop& loop, const Step& step)
+// Runs one event of the control core, executes its actions and publishes the
+// state that it changed.
+template <class Handler>
+void run_control_event(control_loop& loop, const Handler& handler)
 {
     const std::uint64_t before = thread_time_us();
     control_actions actions;
-    step(actions);
-    carry_out(loop, std::move(actions));
+    handler(actions);
+    execute_actions(loop, std::move(actions));
     publish_members(loop);
     publish_configuration(loop);
-    publish_key_trust(loop);
+    publish_key_freshness(loop);
     publish_quarantine(loop);
-    wake_waiting(loop);
+    resume_waiting_calls(loop);
     finish_commits(loop);
     loop.busy_us += thread_time_us() - before;
 }
 
 void on_platform_reply(control_loop& loop, const platform_reply& reply)
 {
-    const bool reachable = reply.status != platform_status::unavailable;
-    if (reachable != loop.platform_reachable)
+    const bool is_reachable = reply.status != platform_status::unavailable;
+    if (is_reachable != loop.platform_reachable)
     {
-        loop.platform_reachable = reachable;
-        event seen;
-        seen.kind = reachable ? event_kind::platform_available
-                              : event_kind::platform_unavailable;
-        loop.services.record(seen);
+        loop.platform_reachable = is_reachable;
+        event new_event;
+        new_event.kind = is_reachable ? event_kind::platform_available
+                                      : event_kind::platform_unavailable;
+        loop.services.record(new_event);
     }
-    run_step(
+    run_control_event(
         loop,
         [&](control_actions& actions)
         {
@@ -172,7 +176,7 @@
 
 void receive(control_loop& loop, const incoming_message& message)
 {
-    run_step(
+    run_control_event(
         loop,
         [&](control_actions& actions)
         {
@@ -197,7 +201,7 @@
     send_message(loop.links, message);
 }
 
-void carry_out(control_loop& loop, control_actions actions)
+void execute_actions(control_loop& loop, control_actions actions)
 {
     for (const auto& message : actions.messages)
     {
@@ -212,13 +216,13 @@
                 on_platform_reply(loop, reply);
             });
     }
-    for (const auto& seen : actions.events)
+    for (const auto& new_event : actions.events)
     {
-        loop.services.record(seen);
+        loop.services.record(new_event);
     }
 }
 
-void spread_upstream(
+void publish_upstream(
     control_loop& loop, const std::optional<upstream_record>& record)
 {
     if (!record)
@@ -228,15 +232,16 @@
     set_upstream(
         loop.gate, *record,
         {loop.upstream.endpoint, loop.upstream.id, loop.upstream.incarnation});
-    event seen;
-    seen.kind = record->state == upstream_state::draining
-                    ? event_kind::upstream_draining
-                : record->state == upstream_state::absent
-                    ? event_kind::upstream_lost
-                    : event_kind::upstream_announced;
-    seen.detail = record->service + ' ' + std::string(name_of(record->state));
-    loop.services.record(seen);
-    run_step(
+    event new_event;
+    new_event.kind = record->state == upstream_state::draining
+                         ? event_kind::upstream_draining
+                     : record->state == upstream_state::absent
+                         ? event_kind::upstream_lost
+                         : event_kind::upstream_announced;
+    new_event.detail =
+        record->service + ' ' + std::string(name_of(record->state));
+    loop.services.record(new_event);
+    run_control_event(
         loop,
         [&](control_actions& actions)
         {
@@ -245,7 +250,8 @@
         });
 }
 
-// An announcement without a connection cap gets that of the configuration.
+// Fills in the connection cap of an announcement that has none: that of the
+// configuration, or else the number of slots.
 upstream_announcement with_connection_cap(
     const control_loop& loop, upstream_announcement announcement)
 {
@@ -267,7 +273,7 @@
 
 void tick(control_loop& loop)
 {
-    run_step(
+    run_control_event(
         loop,
         [&](control_actions& actions)
         {
@@ -280,7 +286,7 @@
 {
     if (!loop.leaving)
     {
-        spread_upstream(loop, check_upstream(loop.upstream, now()));
+        publish_upstream(loop, check_upstream(loop.upstream, now()));
     }
     if (control_due(loop.state) <= now())
     {
@@ -288,7 +294,7 @@
     }
     else
     {
-        run_step(loop, [](control_actions&) {});
+        run_control_event(loop, [](control_actions&) {});
     }
     close_idle(loop.links);
     arm_timer(loop);
@@ -323,35 +329,36 @@
     {
         receive(loop, message);
     };
-    loop.datagrams->on_rejected = [&loop](const char* why)
+    loop.datagrams->on_rejected = [&loop](const char* reason)
     {
-        event seen;
-        seen.kind = event_kind::bad_input;
-        seen.detail = why;
-        loop.services.record(seen);
+        event new_event;
+        new_event.kind = event_kind::bad_input;
+        new_event.detail = reason;
+        loop.services.record(new_event);
     };
     loop.services.path.limiter.on_waiting = [&loop]
     {
-        // One prompt at a time is enough for any number of waiting requests.
-        if (!loop.prompted.exchange(true))
+        // One posted tick serves any number of waiting requests.
+        if (!loop.tick_requested.exchange(true))
         {
             asio::post(
                 loop.io,
                 [&loop]
                 {
-                    loop.prompted = false;
+                    loop.tick_requested = false;
                     tick(loop);
                 });
         }
     };
-    // Lives of the upstream count on past those of an earlier node here.
+    // Upstream incarnations start at the node's own, so that they exceed those
+    // that an earlier node process on this host has counted.
     loop.upstream.incarnation = loop.services.self_incarnation;
     asio::co_spawn(loop.io, run_datagrams(*loop.datagrams), asio::detached);
     asio::post(
         loop.io,
         [&loop, settings]
         {
-            run_step(
+            run_control_event(
                 loop,
                 [&](control_actions& actions)
                 {
@@ -376,19 +383,19 @@
         });
 }
 
-void post_claim_question(control_loop& loop, const claim_request& question)
+void post_claim_request(control_loop& loop, const claim_request& request)
 {
     asio::post(
         loop.io,
-        [&loop, question]
+        [&loop, request]
         {
-            run_step(
+            run_control_event(
                 loop,
                 [&](control_actions& actions)
                 {
                     claims_request(
                         loop.state.claims, inputs_of_claims(loop.state),
-                        question, now(), loop.random, actions);
+                        request, now(), loop.random, actions);
                 });
         });
 }
@@ -400,7 +407,7 @@
         loop.io,
         [&loop, completion]
         {
-            run_step(
+            run_control_event(
                 loop,
                 [&](control_actions& actions)
                 {
@@ -411,7 +418,8 @@
         });
 }
 
-void post_ticket(control_loop& loop, std::function<void(std::string)> callback)
+void post_ticket_request(
+    control_loop& loop, std::function<void(std::string)> callback)
 {
     asio::post(
         loop.io,
@@ -443,7 +451,7 @@
         {
             if (!loop.leaving)
             {
-                spread_upstream(
+                publish_upstream(
                     loop, on_announcement(
                               loop.upstream,
                               with_connection_cap(loop, announcement), now()));
@@ -457,28 +465,28 @@
         loop.io,
         [&loop]
         {
-            spread_upstream(loop, on_drain(loop.upstream));
+            publish_upstream(loop, on_drain(loop.upstream));
         });
 }
 
-void post_upstream_death(
+void post_upstream_crash(
     control_loop& loop, const std::vector<std::uint64_t>& digests)
 {
     asio::post(
         loop.io,
         [&loop, digests]
         {
-            const upstream_incarnation incarnation{
+            const upstream_incarnation crashed{
                 loop.services.self, loop.upstream.incarnation};
-            run_step(
+            run_control_event(
                 loop,
                 [&](control_actions& actions)
                 {
                     quarantine_on_crash(
-                        loop.state.quarantine, loop.state.membership,
-                        incarnation, digests, now(), loop.random, actions);
+                        loop.state.quarantine, loop.state.membership, crashed,
+                        digests, now(), loop.random, actions);
                 });
-            spread_upstream(loop, on_leave(loop.upstream, {}));
+            publish_upstream(loop, on_leave(loop.upstream, {}));
         });
 }
 
@@ -488,7 +496,7 @@
         loop.io,
         [&loop, digest]
         {
-            run_step(
+            run_control_event(
                 loop,
                 [&](control_actions& actions)
                 {
@@ -506,7 +514,7 @@
         loop.io,
         [&loop, departure]
         {
-            spread_upstream(loop, on_leave(loop.upstream, departure));
+            publish_upstream(loop, on_leave(loop.upstream, departure));
         });
 }
 
@@ -517,7 +525,7 @@
         [&loop]
         {
             loop.leaving = true;
-            run_step(
+            run_control_event(
                 loop,
                 [&](control_actions& actions)
                 {
@@ -533,7 +541,7 @@
 {
     const commit_token token = loop.next_commit++;
     loop.commits.emplace(token, std::move(done));
-    run_step(
+    run_control_event(
         loop,
         [&](control_actions& actions)
         {
--- a/src/adapters/datagram_port.cpp
+++ b/src/adapters/datagram_port.cpp
@@ -17,10 +17,10 @@
 
 using authentication_code = std::array<std::uint8_t, code_bytes>;
 
-// HMAC-SHA256 cut to 128 bits. The leading text keeps these codes apart from
-// all other uses of the fleet secret.
-authentication_code
-code_of(const std::string& secret, std::span<const std::uint8_t> bytes)
+// HMAC-SHA256 truncated to 128 bits. The prefix separates these codes from all
+// other uses of the fleet secret.
+authentication_code authentication_code_of(
+    const std::string& secret, std::span<const std::uint8_t> bytes)
 {
     static constexpr std::string_view purpose = "cyclamenhold datagram";
     std::vector<std::uint8_t> text(purpose.begin(), purpose.end());
@@ -45,7 +45,7 @@
 
 } // namespace
 
-bool note_sequence(
+bool record_sequence(
     replay_window& window, incarnation sender_incarnation,
     std::uint64_t sequence)
 {
@@ -61,17 +61,18 @@
     if (sequence > window.newest)
     {
         const std::uint64_t shift = sequence - window.newest;
-        window.seen = shift < window_width ? window.seen << shift : 0;
-        window.seen |= 1;
+        window.received_bits =
+            shift < window_width ? window.received_bits << shift : 0;
+        window.received_bits |= 1;
         window.newest = sequence;
         return true;
     }
     const std::uint64_t age = window.newest - sequence;
-    if (age >= window_width || (window.seen >> age & 1) != 0)
+    if (age >= window_width || (window.received_bits >> age & 1) != 0)
     {
         return false;
     }
-    window.seen |= std::uint64_t{1} << age;
+    window.received_bits |= std::uint64_t{1} << age;
     return true;
 }
 
@@ -87,7 +88,7 @@
         payload));
     std::vector<std::uint8_t> bytes(
         fbb.GetBufferPointer(), fbb.GetBufferPointer() + fbb.GetSize());
-    const auto code = code_of(port.fleet_secret, bytes);
+    const auto code = authentication_code_of(port.fleet_secret, bytes);
     bytes.insert(bytes.end(), code.begin(), code.end());
     return bytes;
 }
@@ -100,7 +101,7 @@
         return std::nullopt;
     }
     const auto content = bytes.first(bytes.size() - code_bytes);
-    const auto code = code_of(port.fleet_secret, content);
+    const auto code = authentication_code_of(port.fleet_secret, content);
     if (CRYPTO_memcmp(
             code.data(), bytes.data() + content.size(), code.size()) != 0)
     {
@@ -116,8 +117,9 @@
     const auto sender = static_cast<host_id>(opened->sender());
     if (opened->payload() == nullptr ||
         static_cast<host_id>(opened->target()) != port.self ||
-        !note_sequence(
-            port.windows[sender], opened->incarnation(), opened->sequence()))
+        !record_sequence(
+            port.replay_windows[sender], opened->incarnation(),
+            opened->sequence()))
     {
         return std::nullopt;
     }
@@ -138,12 +140,12 @@
 
 asio::awaitable<void> run_datagrams(datagram_port& port)
 {
-    std::vector<std::uint8_t> space(max_datagram_bytes);
+    std::vector<std::uint8_t> buffer(max_datagram_bytes);
     while (port.socket.is_open())
     {
         asio::ip::udp::endpoint from;
         const auto [error, count] = co_await port.socket.async_receive_from(
-            asio::buffer(space), from, asio::as_tuple(asio::use_awaitable));
+            asio::buffer(buffer), from, asio::as_tuple(asio::use_awaitable));
         if (error == asio::error::operation_aborted)
         {
             co_return;
@@ -153,13 +155,15 @@
             continue;
         }
         port.bytes_received += count;
-        const auto message = open_datagram(port, std::span(space).first(count));
+        const auto message =
+            open_datagram(port, std::span(buffer).first(count));
         if (!message)
         {
-            port.on_rejected("a datagram was not authentic, or came twice");
+            port.on_rejected(
+                "a datagram is malformed, not authentic or a duplicate");
             continue;
         }
-        // The tables inside need their own alignment.
+        // Copied, because the tables in the payload need their own alignment.
         const std::vector<std::uint8_t> payload(
             message->payload.begin(), message->payload.end());
         port.on_message({message->from, message->kind, payload});
--- a/src/adapters/node_runtime.cpp
+++ b/src/adapters/node_runtime.cpp
@@ -14,28 +14,29 @@
 
 using tcp_acceptor = asio::ip::tcp::acceptor;
 
-// How long peers and callers are given to learn of a planned stop before new
-// work is refused.
-constexpr auto leave_notice = std::chrono::milliseconds(1'500);
+// The time for the announcement of a planned stop to reach peers and callers
+// before new work is refused.
+constexpr auto leave_propagation_time = std::chrono::milliseconds(1'500);
 constexpr auto stop_poll_interval = std::chrono::milliseconds(50);
 constexpr auto gate_tick_interval = std::chrono::milliseconds(10);
 
 struct node_runtime
 {
-    node_runtime(const node_settings& given, json_log sink, std::uint64_t seed)
-        : settings(given),
+    node_runtime(
+        const node_settings& initial, json_log sink, std::uint64_t seed)
+        : settings(initial),
           log(std::move(sink)),
           gate(services),
           control(services, gate, wakeups, seed)
     {
         decisions.most_per_second = settings.log.decisions_per_second;
-        control.key_trust = settings.key_trust;
+        control.max_key_staleness = settings.max_key_staleness;
     }
 
     node_settings settings;
     json_log log;
     bound_ports ports;
-    metrics measured;
+    metrics node_metrics;
     std::unique_ptr<shared_event_ring> events;
     node_services services;
     call_wakeups wakeups;
@@ -49,13 +50,13 @@
     std::unique_ptr<tcp_acceptor> upstream_acceptor;
     std::unique_ptr<tcp_acceptor> peers_acceptor;
     std::unique_ptr<tcp_acceptor> operators_acceptor;
-    // Null without such an endpoint.
+    // Null if the settings name no readiness endpoint.
     std::unique_ptr<tcp_acceptor> ready_acceptor;
     decision_log decisions;
     std::vector<std::thread> running;
     std::atomic<std::size_t> next_thread{0};
     std::atomic<std::size_t> sessions{0};
-    std::atomic<bool> stop_asked{false};
+    std::atomic<bool> drain_requested{false};
 };
 
 namespace
@@ -75,11 +76,11 @@
 std::unique_ptr<tcp_acceptor>
 open_acceptor(asio::io_context& io, const ip_endpoint& endpoint)
 {
-    // Throws with the reason, which start_node reports.
+    // Throws system_error, whose text start_node returns.
     return std::make_unique<tcp_acceptor>(io, tcp_endpoint_of(endpoint), true);
 }
 
-// Binds the peers' UDP port to the number its TCP port has.
+// Binds the UDP port for peers, which has the number of their TCP port.
 asio::ip::udp::socket open_datagrams(node_runtime& node)
 {
     const asio::ip::udp::endpoint local(
@@ -89,11 +90,11 @@
 
 void bind_ports(node_runtime& node)
 {
-    auto& first = node.threads.front()->io;
+    auto& first_io = node.threads.front()->io;
     const auto& listen = node.settings.listen;
-    node.callers_acceptor = open_acceptor(first, listen.callers);
-    node.upstream_acceptor = open_acceptor(first, listen.upstream);
-    node.peers_acceptor = open_acceptor(first, listen.peers);
+    node.callers_acceptor = open_acceptor(first_io, listen.callers);
+    node.upstream_acceptor = open_acceptor(first_io, listen.upstream);
+    node.peers_acceptor = open_acceptor(first_io, listen.peers);
     node.operators_acceptor = open_acceptor(node.control.io, listen.operators);
     if (listen.ready)
     {
@@ -110,8 +111,8 @@
     return *node.threads[node.next_thread++ % node.threads.size()];
 }
 
-// Accepts connections on `acceptor` and hands each socket, bound to the thread
-// that will serve it, to `serve`.
+// Accepts connections on `acceptor`. Passes each socket, bound to the request
+// thread that serves it, to `serve`.
 template <class Serve>
 asio::awaitable<void>
 accept_loop(node_runtime* node, tcp_acceptor* acceptor, Serve serve)
@@ -136,9 +137,9 @@
 run_session(node_runtime* node, caller_ptr caller, session_settings settings)
 {
     ++node->sessions;
-    change(node->measured, gauge_id::caller_connections, 1);
+    change(node->node_metrics, gauge_id::caller_connections, 1);
     co_await serve_caller(std::move(caller), settings);
-    change(node->measured, gauge_id::caller_connections, -1);
+    change(node->node_metrics, gauge_id::caller_connections, -1);
     --node->sessions;
 }
 
@@ -149,7 +150,7 @@
     {
         if (node.sessions >= node.services.limits.max_connections)
         {
-            // Closed at once: an answer would need a session of its own.
+            // Closed without an answer, which would need a session.
             return;
         }
         auto caller =
@@ -242,21 +243,21 @@
     return settings;
 }
 
-// Ties the parts to each other by the calls they make across threads.
-void connect_parts(node_runtime& node)
+// Sets the callbacks through which the parts call each other across threads.
+void connect_callbacks(node_runtime& node)
 {
-    node.services.record = [&node](const event& seen)
+    node.services.record = [&node](const event& new_event)
     {
-        node.events->record(seen);
-        log_decision(node.decisions, node.log, seen);
+        node.events->record(new_event);
+        log_decision(node.decisions, node.log, new_event);
     };
     node.services.stamp_send = [&node]
     {
         return node.events->stamp_send();
     };
-    node.services.note_receive = [&node](hybrid_time remote)
+    node.services.record_receive = [&node](hybrid_time remote)
     {
-        node.events->note_receive(remote);
+        node.events->record_receive(remote);
     };
     node.services.run_local = [&node](const exchange_ptr& work)
     {
@@ -275,17 +276,17 @@
         {
             return;
         }
-        event seen;
-        seen.kind = event_kind::peer_silent;
-        seen.peer = peer;
-        seen.detail = absl::StrFormat(
-            "no beat for %d ms: new requests go elsewhere",
-            heartbeat_avoidance.count());
-        node.services.record(seen);
+        event new_event;
+        new_event.kind = event_kind::peer_silent;
+        new_event.peer = peer;
+        new_event.detail = absl::StrFormat(
+            "no heartbeat for %d ms: new requests avoid this peer",
+            peer_avoidance_timeout.count());
+        node.services.record(new_event);
     };
-    node.control_side.request_claim = [&node](const claim_request& question)
+    node.control_side.request_claim = [&node](const claim_request& request)
     {
-        post_claim_question(node.control, question);
+        post_claim_request(node.control, request);
     };
     node.control_side.complete_claim =
         [&node](const claim_completion& completion)
@@ -295,7 +296,7 @@
     node.control_side.issue_ticket =
         [&node](std::function<void(std::string)> callback)
     {
-        post_ticket(node.control, std::move(callback));
+        post_ticket_request(node.control, std::move(callback));
     };
     node.gate.check_claim =
         [&node](const claim_grant& grant, std::function<void(bool)> callback)
@@ -304,7 +305,7 @@
     };
     node.gate.on_crash = [&node](const std::vector<std::uint64_t>& digests)
     {
-        post_upstream_death(node.control, digests);
+        post_upstream_crash(node.control, digests);
     };
     node.gate.on_suspect_success = [&node](std::uint64_t digest)
     {
@@ -327,15 +328,15 @@
 
 operator_reply events_reply(node_runtime& node, const std::string& target)
 {
-    const auto [query, found] = read_event_query(target);
-    if (found.empty())
+    const auto [query, findings] = read_event_query(target);
+    if (findings.empty())
     {
         return {
             200, "application/json",
             write_event_page(node.events->page(query))};
     }
     boost::json::array list;
-    for (const auto& [place, message] : found)
+    for (const auto& [place, message] : findings)
     {
         list.push_back(
             boost::json::object{{"place", place}, {"message", message}});
@@ -347,19 +348,19 @@
 
 std::string metrics_text(node_runtime& node)
 {
-    measure_memory(node.measured);
+    measure_memory(node.node_metrics);
     const load_report load = report_of(node.gate);
-    set(node.measured, gauge_id::gate_queue, load.queued);
-    set(node.measured, gauge_id::gate_limit, load.limit);
-    set(node.measured, gauge_id::gate_in_flight, load.in_flight);
-    set(node.measured, gauge_id::configuration_revision,
+    set(node.node_metrics, gauge_id::gate_queue, load.queued);
+    set(node.node_metrics, gauge_id::gate_limit, load.limit);
+    set(node.node_metrics, gauge_id::gate_in_flight, load.in_flight);
+    set(node.node_metrics, gauge_id::configuration_revision,
         static_cast<std::int64_t>(node.control.state.chain.current->revision));
-    set(node.measured, gauge_id::platform_reachable,
+    set(node.node_metrics, gauge_id::platform_reachable,
         node.control.platform_reachable ? 1 : 0);
-    return write_prometheus(node.measured);
+    return write_prometheus(node.node_metrics);
 }
 
-// Callers are asked for as soon as their requests can be judged.
+// A node is ready while it has a configuration and is not draining.
 bool is_ready(const node_runtime& node)
 {
     return !node.services.path.draining &&
@@ -387,7 +388,7 @@
         node.settings.interface == interface_kind::platform;
     node.operators.drain = [&node]
     {
-        node.stop_asked = true;
+        node.drain_requested = true;
     };
 }
 
@@ -419,7 +420,7 @@
         node.running.emplace_back(
             [&io = thread->io]
             {
-                // A thread without connections waits for its first one.
+                // Keeps the thread running while it has no connections.
                 const auto work = asio::make_work_guard(io);
                 io.run();
             });
@@ -428,17 +429,17 @@
 
 void record_lifecycle(node_runtime& node, event_kind kind, std::string detail)
 {
-    event seen;
-    seen.kind = kind;
-    seen.detail = detail;
-    node.services.record(seen);
+    event new_event;
+    new_event.kind = kind;
+    new_event.detail = detail;
+    node.services.record(new_event);
     write_log(
         node.log, log_level::info, std::string(name_of(kind)),
         {{"detail", detail}, {"host", to_string(node.services.self)}});
 }
 
-// Requests under way on any thread, asked on that thread.
-std::size_t streams_of(request_thread& thread)
+// The streams on the peer links of a thread, counted on that thread.
+std::size_t count_open_streams(request_thread& thread)
 {
     std::promise<std::size_t> count;
     asio::post(
@@ -450,33 +451,34 @@
     return count.get_future().get();
 }
 
-std::size_t work_left(node_runtime& node)
+std::size_t count_open_requests(node_runtime& node)
 {
     std::size_t left = count_requests(node.gate) + node.sessions;
     for (const auto& thread : node.threads)
     {
-        left += streams_of(*thread);
+        left += count_open_streams(*thread);
     }
     return left;
 }
 
-// Waits until nothing is under way. Returns what is when time is up.
-std::size_t wait_for_work(
-    node_runtime& node, const std::atomic<bool>& hurry, time_point until)
+// Waits until no request is under way, `until` is reached or `stop_now` is set.
+// Returns the number of requests left.
+std::size_t wait_until_drained(
+    node_runtime& node, const std::atomic<bool>& stop_now, time_point until)
 {
-    std::size_t left = work_left(node);
-    while (left > 0 && !hurry && now() < until)
+    std::size_t left = count_open_requests(node);
+    while (left > 0 && !stop_now && now() < until)
     {
         std::this_thread::sleep_for(stop_poll_interval);
-        left = work_left(node);
+        left = count_open_requests(node);
     }
     return left;
 }
 
-void wait_unless(const std::atomic<bool>& hurry, duration time)
+void wait_or_stop_now(const std::atomic<bool>& stop_now, duration time)
 {
     const time_point until = now() + time;
-    while (!hurry && now() < until)
+    while (!stop_now && now() < until)
     {
         std::this_thread::sleep_for(stop_poll_interval);
     }
@@ -496,8 +498,8 @@
     }
 }
 
-// Ends all connections and lets their coroutines run to their ends, while the
-// contexts that they belong to still exist. The threads have stopped.
+// Closes all connections and runs their coroutines to the end while their
+// contexts still exist. To be called after the threads have stopped.
 void release_connections(node_runtime& node)
 {
     close_acceptors(node);
@@ -510,8 +512,8 @@
             caller->stream.close();
         }
     }
-    constexpr int rounds = 10;
-    for (int round = 0; round < rounds; ++round)
+    constexpr int poll_rounds = 10;
+    for (int round = 0; round < poll_rounds; ++round)
     {
         for (const auto& thread : node.threads)
         {
@@ -563,7 +565,7 @@
         settings.upstream.trusts_slots != 0,
         settings.upstream.reserved_for_calls / 100.0,
         settings.upstream.trusts_slots != 0};
-    node->control.retry_slack = settings.retries.fleet_slack;
+    node->control.fleet_retry_slack = settings.retries.fleet_slack;
     node->services.path.limiter.longest_wait = settings.rates.longest_wait;
     node->services.path.limiter.has_loans =
         settings.rates.sharing == rate_sharing::by_pledge;
@@ -582,7 +584,7 @@
         node->services.path.self = node->services.self;
         node->events = std::make_unique<shared_event_ring>(
             node->services.self, settings.name, settings.event_ring_size);
-        connect_parts(*node);
+        connect_callbacks(*node);
         prepare_operators(*node, secrets.operator_credential);
         platform_connection_settings platform;
         platform.endpoint = tcp_endpoint_of(settings.platform);
@@ -606,14 +608,14 @@
     return node.ports;
 }
 
-void reload_node(node_runtime& node, const settings_result& read)
+void reload_node(node_runtime& node, const settings_result& result)
 {
-    const auto& [next, found] = read;
-    if (!found.empty())
+    const auto& [next, findings] = result;
+    if (!findings.empty())
     {
         write_log(
             node.log, log_level::error, "settings-rejected",
-            {{"detail", to_string(found)}});
+            {{"detail", to_string(findings)}});
         return;
     }
     node.settings.stop_timeout = next.stop_timeout;
@@ -624,9 +626,9 @@
     }
     asio::post(
         node.control.io,
-        [&node, trust = next.key_trust]
+        [&node, staleness = next.max_key_staleness]
         {
-            node.control.key_trust = trust;
+            node.control.max_key_staleness = staleness;
         });
     const bool needs_restart = next.name != node.settings.name ||
                                next.listen != node.settings.listen ||
@@ -641,17 +643,18 @@
 
 bool stop_requested(const node_runtime& node)
 {
-    return node.stop_asked;
+    return node.drain_requested;
 }
 
-stop_report stop_node(node_runtime& node, const std::atomic<bool>& hurry)
+stop_report stop_node(node_runtime& node, const std::atomic<bool>& stop_now)
 {
     record_lifecycle(node, event_kind::node_stopping, node.settings.name);
     const time_point until = now() + node.settings.stop_timeout;
-    // Callers are served on, each told to open its next connection elsewhere.
+    // Callers are still served, but each reply closes its connection, so that
+    // the next one is opened to another node.
     node.services.path.draining = true;
     post_leave(node.control);
-    wait_unless(hurry, leave_notice);
+    wait_or_stop_now(stop_now, leave_propagation_time);
     for (const auto& thread : node.threads)
     {
         asio::post(
@@ -665,14 +668,15 @@
                 }
             });
     }
-    // Callers may come until the end: a port that is closed tells them less
-    // than an answer.
-    const time_point last_new = now() + (until - now()) * 2 / 5;
-    std::size_t left = wait_for_work(node, hurry, last_new);
+    // The port for callers stays open until the end: a refusal gives them a
+    // reason, a closed port does not.
+    const time_point refusal_start = now() + (until - now()) * 2 / 5;
+    std::size_t left = wait_until_drained(node, stop_now, refusal_start);
     node.services.path.refuses_new = true;
-    left = wait_for_work(node, hurry, until);
+    left = wait_until_drained(node, stop_now, until);
     record_lifecycle(
-        node, event_kind::node_stopped, std::to_string(left) + " cut");
+        node, event_kind::node_stopped,
+        std::to_string(left) + " requests unfinished");
     stop_threads(node);
     return {left};
 }
--- a/src/adapters/peer_socket.cpp
+++ b/src/adapters/peer_socket.cpp
@@ -12,11 +12,11 @@
 {
 
 constexpr std::size_t read_size_bytes = 64 * 1024;
-// Bounds one wait for room, after which the condition is looked at again.
-constexpr auto room_wait_limit = std::chrono::seconds(1);
+// Bounds one wait for send capacity; the condition is checked again after it.
+constexpr auto max_send_capacity_wait = std::chrono::seconds(1);
 
-// Moves a whole frame from the receive buffer to `payload`, if there is one.
-bool take_frame(
+// Moves a complete frame from the receive buffer to `payload`, if there is one.
+bool extract_frame(
     peer_socket& peer, std::vector<std::uint8_t>& payload, bool& too_long)
 {
     const std::span<const std::uint8_t> available(
@@ -38,8 +38,8 @@
     return true;
 }
 
-// Moves what is left to the front and makes room for another read.
-void make_room(peer_socket& peer)
+// Moves the unread bytes to the front and makes space for another read.
+void compact_receive_buffer(peer_socket& peer)
 {
     const std::size_t left = peer.received_end - peer.received_begin;
     std::memmove(
@@ -58,7 +58,7 @@
     {
         peer->in_flight.clear();
         std::swap(peer->in_flight, peer->pending);
-        peer->room.cancel();
+        peer->send_capacity_signal.cancel();
         const auto [error, written] = co_await asio::async_write(
             peer->socket, asio::buffer(peer->in_flight),
             asio::as_tuple(asio::use_awaitable));
@@ -71,7 +71,7 @@
     peer->writing = false;
 }
 
-bool is_sound(const wire::hello& hello)
+bool is_valid_hello(const wire::hello& hello)
 {
     return hello.protocol() == peer_protocol_version &&
            hello.nonce()->size() == handshake_nonce_bytes;
@@ -84,7 +84,7 @@
     return nonce;
 }
 
-// Reads the other side's hello and remembers who it says it is.
+// Reads the peer's hello and stores the identity that it claims.
 asio::awaitable<absl::Status>
 receive_hello(peer_socket& peer, handshake_nonce& nonce)
 {
@@ -96,9 +96,10 @@
     }
     const wire::frame* const frame = decode_frame(payload);
     const auto* const hello = frame ? frame->body_as_hello() : nullptr;
-    if (hello == nullptr || !is_sound(*hello))
+    if (hello == nullptr || !is_valid_hello(*hello))
     {
-        co_return absl::InvalidArgumentError("not a hello of this protocol");
+        co_return absl::InvalidArgumentError(
+            "expected a hello of this protocol version");
     }
     peer.peer = static_cast<host_id>(hello->host());
     peer.peer_incarnation = hello->incarnation();
@@ -120,7 +121,8 @@
     if (proof == nullptr ||
         !equal_proofs({proof->mac()->data(), proof->mac()->size()}, expected))
     {
-        co_return absl::PermissionDeniedError("the proof is wrong");
+        co_return absl::PermissionDeniedError(
+            "the handshake proof does not match");
     }
     co_return absl::OkStatus();
 }
@@ -131,13 +133,14 @@
 read_frame(peer_socket& peer, std::vector<std::uint8_t>& payload)
 {
     bool too_long = false;
-    while (!take_frame(peer, payload, too_long))
+    while (!extract_frame(peer, payload, too_long))
     {
         if (too_long)
         {
-            co_return absl::InvalidArgumentError("the frame is too long");
+            co_return absl::InvalidArgumentError(
+                "the frame is longer than the maximum");
         }
-        make_room(peer);
+        compact_receive_buffer(peer);
         const auto [error, count] = co_await peer.socket.async_read_some(
             asio::buffer(
                 peer.received.data() + peer.received_end, read_size_bytes),
@@ -147,7 +150,7 @@
         {
             co_return absl::UnavailableError(error.message());
         }
-        peer.heard_at = now();
+        peer.last_received_at = now();
     }
     co_return absl::OkStatus();
 }
@@ -163,12 +166,13 @@
         peer->socket.get_executor(), write_pending(peer), asio::detached);
 }
 
-asio::awaitable<void> wait_for_room(peer_socket& peer)
+asio::awaitable<void> wait_for_send_capacity(peer_socket& peer)
 {
     while (!peer.closed && peer.pending.size() > max_pending_bytes)
     {
-        peer.room.expires_after(room_wait_limit);
-        co_await peer.room.async_wait(asio::as_tuple(asio::use_awaitable));
+        peer.send_capacity_signal.expires_after(max_send_capacity_wait);
+        co_await peer.send_capacity_signal.async_wait(
+            asio::as_tuple(asio::use_awaitable));
     }
 }
 
@@ -181,7 +185,7 @@
     peer.closed = true;
     boost::system::error_code ignored;
     peer.socket.close(ignored);
-    peer.room.cancel();
+    peer.send_capacity_signal.cancel();
 }
 
 asio::awaitable<absl::Status> handshake_as_dialler(
@@ -198,7 +202,8 @@
     }
     if (peer->peer != expected)
     {
-        co_return absl::PermissionDeniedError("another host answered");
+        co_return absl::PermissionDeniedError(
+            "a host other than the dialled one answered");
     }
     encode_proof(
         peer->pending, make_proof(
--- a/src/adapters/peer_streams.cpp
+++ b/src/adapters/peer_streams.cpp
@@ -36,12 +36,12 @@
             asio::as_tuple(asio::use_awaitable));
     }
     stream->credit -= static_cast<std::int64_t>(size);
-    co_await wait_for_room(*link->connection);
+    co_await wait_for_send_capacity(*link->connection);
     co_return !stream->finished && !link->connection->closed;
 }
 
-// Sends a piece of a body, and its end behind the last one.
-// `bytes` outlives the call.
+// Sends a piece of a body, followed by the end frame if it is the last one.
+// `bytes` must outlive the call.
 asio::awaitable<bool> send_piece(
     peer_link_ptr link, peer_stream_ptr stream, std::uint64_t id,
     const std::string& bytes, bool last)
@@ -66,7 +66,8 @@
     co_return true;
 }
 
-// Moves the request's body to the peer; a closed channel cancels the stream.
+// Sends the request's body to the peer, until its end or until the channel is
+// closed.
 asio::awaitable<void>
 pump_body(peer_link_ptr link, peer_stream_ptr stream, std::uint64_t id)
 {
@@ -90,7 +91,7 @@
     }
 }
 
-// Gives the sender of a body credit for what has been consumed here.
+// Grants the sender of a body credit for the bytes consumed here.
 void grant_consumed(
     const peer_link_ptr& link, const peer_stream_ptr& stream, std::uint64_t id,
     std::size_t bytes)
@@ -105,7 +106,7 @@
         return;
     }
     encode_stream_credit(link->connection->pending, id, stream->consumed);
-    stream->granted += stream->consumed;
+    stream->receive_credit += stream->consumed;
     stream->consumed = 0;
     flush(link->connection);
 }
@@ -148,16 +149,16 @@
     }
 }
 
-// Lets the peer send the rest of the body of a request that has started.
-void grant_started(
+// Grants the peer the full window for the body of a request that has started.
+void grant_stream_window(
     const peer_link_ptr& link, const peer_stream_ptr& stream, std::uint64_t id)
 {
-    stream->granted += stream_window_bytes;
+    stream->receive_credit += stream_window_bytes;
     encode_stream_credit(link->connection->pending, id, stream_window_bytes);
     flush(link->connection);
 }
 
-// Moves the reply of a request that came from the peer back to it.
+// Sends the reply of a request that was received from the peer.
 asio::awaitable<void>
 pump_reply(peer_link_ptr link, peer_stream_ptr stream, std::uint64_t id)
 {
@@ -177,7 +178,7 @@
         }
         if (event.started)
         {
-            grant_started(link, stream, id);
+            grant_stream_window(link, stream, id);
             continue;
         }
         send_reply_event(link, id, event);
@@ -201,11 +202,11 @@
 
 void record_bad_frame(const peer_link& link, std::string detail)
 {
-    event seen;
-    seen.kind = event_kind::bad_input;
-    seen.peer = link.connection->peer;
-    seen.detail = std::move(detail);
-    link.services.record(seen);
+    event new_event;
+    new_event.kind = event_kind::bad_input;
+    new_event.peer = link.connection->peer;
+    new_event.detail = std::move(detail);
+    link.services.record(new_event);
 }
 
 // Starts a request that the peer opened.
@@ -226,15 +227,15 @@
     work->target_incarnation = open.target_incarnation();
     auto stream = std::make_shared<peer_stream>(work, executor);
     stream->credit = stream_window_bytes;
-    stream->granted = max_chunk_bytes;
+    stream->receive_credit = max_chunk_bytes;
     work->on_body_consumed = make_consumed_hook(link, stream, id);
     link->streams.emplace(id, stream);
     asio::co_spawn(executor, pump_reply(link, stream, id), asio::detached);
     link->services.run_local(work);
 }
 
-// Ends a stream whose peer broke the protocol or whose body does not add up.
-void cut_stream(
+// Ends a stream after a protocol error, a wrong checksum or a full channel.
+void abort_stream(
     const peer_link_ptr& link, const peer_stream_ptr& stream, std::uint64_t id)
 {
     if (stream->opened_here)
@@ -270,7 +271,7 @@
     }
     if (!sent)
     {
-        cut_stream(link, stream, id);
+        abort_stream(link, stream, id);
     }
 }
 
@@ -281,11 +282,11 @@
     const std::string_view bytes(
         reinterpret_cast<const char*>(data.bytes()->data()),
         data.bytes()->size());
-    stream->granted -= static_cast<std::int64_t>(bytes.size());
-    if (stream->granted < 0)
+    stream->receive_credit -= static_cast<std::int64_t>(bytes.size());
+    if (stream->receive_credit < 0)
     {
-        record_bad_frame(*link, "a body is longer than its credit");
-        cut_stream(link, stream, data.stream());
+        record_bad_frame(*link, "a body exceeds its flow-control credit");
+        abort_stream(link, stream, data.stream());
         return;
     }
     stream->received.add(bytes);
@@ -299,8 +300,8 @@
     if (end.length() != stream->received.length ||
         end.checksum() != stream->received.checksum())
     {
-        record_bad_frame(*link, "a body does not match its checksum");
-        cut_stream(link, stream, end.stream());
+        record_bad_frame(*link, "a body does not match its length or checksum");
+        abort_stream(link, stream, end.stream());
         return;
     }
     deliver(link, stream, end.stream(), {}, true);
@@ -334,7 +335,7 @@
     if (!stream->work->reply.try_send(
             boost::system::error_code(), std::move(event)))
     {
-        cut_stream(link, stream, reply.stream());
+        abort_stream(link, stream, reply.stream());
     }
 }
 
@@ -354,7 +355,8 @@
     return found == link.streams.end() ? nullptr : found->second;
 }
 
-// Frames of streams that are not known here any more are late and dropped.
+// Calls the handler with the frame's stream. Drops frames of streams that have
+// ended, which may arrive late, and those of the wrong direction.
 template <class Frame, class Handler>
 void with_stream(
     const peer_link_ptr& link, const Frame& frame, bool opened_here,
@@ -367,11 +369,11 @@
     }
 }
 
-void on_heartbeat(const peer_link_ptr& link, const wire::heartbeat& beat)
+void on_heartbeat(const peer_link_ptr& link, const wire::heartbeat& heartbeat)
 {
-    if (!beat.reply())
+    if (!heartbeat.reply())
     {
-        encode_heartbeat(link->connection->pending, beat.sequence(), true);
+        encode_heartbeat(link->connection->pending, heartbeat.sequence(), true);
         flush(link->connection);
     }
 }
@@ -384,12 +386,12 @@
         {payload->begin(), payload->end()});
 }
 
-// True when the frame was one that may come on an established link.
+// Returns false for a frame that is not allowed on an established link.
 bool dispatch_frame(const peer_link_ptr& link, const wire::frame& frame)
 {
     if (frame.clock() != 0)
     {
-        link->services.note_receive(static_cast<hybrid_time>(frame.clock()));
+        link->services.record_receive(static_cast<hybrid_time>(frame.clock()));
     }
     switch (frame.body_type())
     {
@@ -473,7 +475,7 @@
     auto stream = std::make_shared<peer_stream>(work, executor);
     stream->opened_here = true;
     stream->credit = max_chunk_bytes;
-    stream->granted = stream_window_bytes;
+    stream->receive_credit = stream_window_bytes;
     work->on_reply_consumed = make_consumed_hook(link, stream, id);
     link->streams.emplace(id, stream);
     work->unsent = false;
@@ -501,22 +503,22 @@
     flush(link->connection);
 }
 
-asio::awaitable<void> beat(peer_link_ptr link)
+asio::awaitable<void> send_heartbeats(peer_link_ptr link)
 {
     std::uint64_t sequence = 0;
     while (!link->connection->closed)
     {
-        if (now() - link->connection->heard_at > heartbeat_timeout)
+        if (now() - link->connection->last_received_at > heartbeat_timeout)
         {
-            event seen;
-            seen.kind = event_kind::peer_silent;
-            seen.peer = link->connection->peer;
-            seen.detail = "the link is given up";
-            link->services.record(seen);
+            event new_event;
+            new_event.kind = event_kind::peer_silent;
+            new_event.peer = link->connection->peer;
+            new_event.detail = "the link is given up";
+            link->services.record(new_event);
             end_link(link);
             co_return;
         }
-        if (now() - link->connection->heard_at > heartbeat_avoidance)
+        if (now() - link->connection->last_received_at > peer_avoidance_timeout)
         {
             link->services.on_peer_silent(link->connection->peer);
         }
@@ -532,7 +534,7 @@
 
 void open_stream(const peer_link_ptr& link, const exchange_ptr& work)
 {
-    link->used_at = now();
+    link->last_used_at = now();
     if (link->connection->closed || link->going_away)
     {
         fail(*work, {refusal::no_upstream, outcome::not_run});
@@ -548,7 +550,7 @@
 
 void send_control(const peer_link_ptr& link, const outgoing_message& message)
 {
-    link->used_at = now();
+    link->last_used_at = now();
     if (link->connection->closed)
     {
         return;
@@ -566,7 +568,7 @@
 asio::awaitable<void> run_link(peer_link_ptr link)
 {
     link->ready = true;
-    link->connection->heard_at = now();
+    link->connection->last_received_at = now();
     for (const auto& work : std::exchange(link->waiting, {}))
     {
         start_stream(link, work);
@@ -575,7 +577,7 @@
     {
         send_control(link, message);
     }
-    asio::co_spawn(executor_of(*link), beat(link), asio::detached);
+    asio::co_spawn(executor_of(*link), send_heartbeats(link), asio::detached);
     std::vector<std::uint8_t> payload;
     while (!link->connection->closed)
     {
--- a/src/adapters/platform_client.cpp
+++ b/src/adapters/platform_client.cpp
@@ -21,12 +21,12 @@
 {
     platform_connections(
         const asio::any_io_executor& executor,
-        const platform_connection_settings& from)
-        : settings(from),
-          calls(executor, from.endpoint, from.connections),
-          watches(executor, from.endpoint, from.watch_connections),
-          random(from.seed),
-          backoff(from.first_backoff)
+        const platform_connection_settings& initial)
+        : settings(initial),
+          calls(executor, initial.endpoint, initial.connections),
+          watches(executor, initial.endpoint, initial.watch_connections),
+          random(initial.seed),
+          backoff(initial.initial_backoff)
     {
     }
     platform_connection_settings settings;
@@ -36,8 +36,8 @@
     std::size_t pending = 0;
     // The bound of the next random wait.
     duration backoff;
-    // No call is sent before.
-    time_point not_before{};
+    // No call is sent before this time.
+    time_point backoff_until{};
 };
 
 namespace
@@ -54,23 +54,25 @@
     return reply;
 }
 
-// A random share of the backoff, so that many clients spread out.
-void note_failure(platform_connections& client)
+// Sends no call for a random share of the backoff, so that the calls of many
+// clients spread out.
+void record_failure(platform_connections& client)
 {
     const time_point at = now();
-    if (at < client.not_before)
+    if (at < client.backoff_until)
     {
         return;
     }
     const double share = random_fraction(client.random);
-    client.not_before = at + from_seconds(share * to_seconds(client.backoff));
-    client.backoff = std::min(client.backoff * 2, client.settings.last_backoff);
+    client.backoff_until =
+        at + from_seconds(share * to_seconds(client.backoff));
+    client.backoff = std::min(client.backoff * 2, client.settings.max_backoff);
 }
 
-void note_success(platform_connections& client)
+void record_success(platform_connections& client)
 {
-    client.backoff = client.settings.first_backoff;
-    client.not_before = {};
+    client.backoff = client.settings.initial_backoff;
+    client.backoff_until = {};
 }
 
 // Waits until the backoff is over; false when that is after `deadline`.
@@ -78,9 +80,9 @@
 wait_for_backoff(platform_connections& client, time_point deadline)
 {
     asio::steady_timer timer(client.calls.executor);
-    while (client.not_before > now())
+    while (client.backoff_until > now())
     {
-        timer.expires_at(std::min(client.not_before, deadline));
+        timer.expires_at(std::min(client.backoff_until, deadline));
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
         if (now() >= deadline)
         {
@@ -112,19 +114,19 @@
     const http_result result = co_await http_send(pool, std::move(request));
     if (result.status != http_call_status::answered)
     {
-        note_failure(client);
+        record_failure(client);
         co_return unavailable_reply(call);
     }
     auto reply = codec.decode_reply(call, {result.http_status, result.body});
     if (!reply.ok() || reply->status == platform_status::unavailable ||
         reply->status == platform_status::rejected)
     {
-        // Also a refusal for load is a reason to call less.
-        note_failure(client);
+        // A rejection, for example for overload, also starts a backoff.
+        record_failure(client);
     }
     else
     {
-        note_success(client);
+        record_success(client);
     }
     if (!reply.ok())
     {
@@ -157,7 +159,7 @@
     platform_callback callback)
 {
     const auto& executor = client->calls.executor;
-    if (client->pending >= client->settings.most_pending_calls)
+    if (client->pending >= client->settings.max_pending_calls)
     {
         asio::post(
             executor,
@@ -168,7 +170,7 @@
         return;
     }
     ++client->pending;
-    // Posted, so that the call never runs inside its sender.
+    // Posted, so that the callback never runs inside this function.
     asio::post(
         executor,
         [client, call = std::move(call), callback = std::move(callback)]
