--- a/src/adapters/control_loop.cpp
+++ b/src/adapters/control_loop.cpp
@@ -60,7 +60,7 @@
 // Says until when keys may be trusted without a newer proof.
 void publish_key_trust(control_loop& loop)
 {
-    if (loop.key_trust == duration::zero())
+    if (loop.max_key_staleness == duration::zero())
     {
         return;
     }
@@ -69,8 +69,9 @@
     const bool is_older_than_suspension =
         confirmed.time_since_epoch().count() <=
         loop.services.path.resumed_at.load(std::memory_order_relaxed);
-    const time_point until =
-        is_older_than_suspension ? time_point{} : confirmed + loop.key_trust;
+    const time_point until = is_older_than_suspension
+                                 ? time_point{}
+                                 : confirmed + loop.max_key_staleness;
     loop.services.path.keys_fresh_until.store(
         until.time_since_epoch().count(), std::memory_order_relaxed);
     const bool trusted = now() < until;
--- a/src/adapters/control_loop.hpp
+++ b/src/adapters/control_loop.hpp
@@ -58,7 +58,7 @@
         commits;
     // Keys are trusted for so long after the configuration was last known to
     // be the newest; zero for ever.
-    duration key_trust{};
+    duration max_key_staleness{};
     bool are_keys_trusted = true;
     // Repeats that the fleet may save up for a service; zero for no bound.
     double retry_slack = 0.0;
--- a/src/adapters/decision_log.cpp
+++ b/src/adapters/decision_log.cpp
@@ -38,7 +38,7 @@
 struct line_budget
 {
     bool may_write = false;
-    std::uint64_t left_out = 0;
+    std::uint64_t suppressed = 0;
 };
 
 line_budget take_line(decision_log& decisions, bool must_write)
@@ -48,19 +48,19 @@
     line_budget budget;
     if (at - decisions.second_started >= 1s)
     {
-        budget.left_out = std::exchange(decisions.left_out, 0);
+        budget.suppressed = std::exchange(decisions.suppressed, 0);
         decisions.second_started = at;
         decisions.written = 0;
     }
     budget.may_write =
-        must_write || decisions.written < decisions.most_per_second;
+        must_write || decisions.written < decisions.max_lines_per_second;
     if (budget.may_write)
     {
         ++decisions.written;
     }
     else
     {
-        ++decisions.left_out;
+        ++decisions.suppressed;
     }
     return budget;
 }
@@ -75,11 +75,11 @@
         return;
     }
     const line_budget budget = take_line(decisions, !is_about_request(seen));
-    if (budget.left_out > 0)
+    if (budget.suppressed > 0)
     {
         write_log(
             log, log_level::warning, "log-lines-left-out",
-            {{"count", budget.left_out}});
+            {{"count", budget.suppressed}});
     }
     if (!budget.may_write)
     {
--- a/src/adapters/decision_log.hpp
+++ b/src/adapters/decision_log.hpp
@@ -16,13 +16,13 @@
 
 struct decision_log
 {
-    std::uint32_t most_per_second = 50;
+    std::uint32_t max_lines_per_second = 50;
 
     std::mutex mutex;
     // Guarded by mutex.
     time_point second_started{};
     std::uint32_t written = 0;
-    std::uint64_t left_out = 0;
+    std::uint64_t suppressed = 0;
 };
 
 // Writes the line of an event, unless it is of a kind that is not logged.
--- a/src/adapters/metrics.cpp
+++ b/src/adapters/metrics.cpp
@@ -308,7 +308,7 @@
     return from_seconds(bound);
 }
 
-std::string write_prometheus(const metrics& from)
+std::string to_prometheus_text(const metrics& from)
 {
     std::string text;
     write_requests(text, from);
@@ -335,7 +335,7 @@
     return text;
 }
 
-void measure_memory(metrics& to)
+void update_resident_bytes(metrics& to)
 {
     std::ifstream file("/proc/self/statm");
     std::int64_t total_pages = 0;
--- a/src/adapters/metrics.hpp
+++ b/src/adapters/metrics.hpp
@@ -151,9 +151,9 @@
 quantile(const metrics& of, histogram_id id, double share);
 
 // All metrics, in the Prometheus text format.
-[[nodiscard]] std::string write_prometheus(const metrics& from);
+[[nodiscard]] std::string to_prometheus_text(const metrics& from);
 
 // Sets the gauge of this process's resident memory from /proc/self/statm.
-void measure_memory(metrics& to);
+void update_resident_bytes(metrics& to);
 
 } // namespace cyclamenhold
--- a/src/adapters/node_runtime.cpp
+++ b/src/adapters/node_runtime.cpp
@@ -28,8 +28,8 @@
           gate(services),
           control(services, gate, wakeups, seed)
     {
-        decisions.most_per_second = settings.log.decisions_per_second;
-        control.key_trust = settings.key_trust;
+        decisions.max_lines_per_second = settings.log.decisions_per_second;
+        control.max_key_staleness = settings.max_key_staleness;
     }
 
     node_settings settings;
@@ -254,9 +254,9 @@
     {
         return node.events->stamp_send();
     };
-    node.services.note_receive = [&node](hybrid_time remote)
+    node.services.record_receive = [&node](hybrid_time remote)
     {
-        node.events->note_receive(remote);
+        node.events->record_receive(remote);
     };
     node.services.run_local = [&node](const exchange_ptr& work)
     {
@@ -347,7 +347,7 @@
 
 std::string metrics_text(node_runtime& node)
 {
-    measure_memory(node.measured);
+    update_resident_bytes(node.measured);
     const load_report load = report_of(node.gate);
     set(node.measured, gauge_id::gate_queue, load.queued);
     set(node.measured, gauge_id::gate_limit, load.limit);
@@ -356,7 +356,7 @@
         static_cast<std::int64_t>(node.control.state.chain.current->revision));
     set(node.measured, gauge_id::platform_reachable,
         node.control.platform_reachable ? 1 : 0);
-    return write_prometheus(node.measured);
+    return to_prometheus_text(node.measured);
 }
 
 // Callers are asked for as soon as their requests can be judged.
@@ -560,9 +560,9 @@
     node->services.path.retries_node_refusals =
         node->services.path.treats_keyless_as_calls;
     node->gate.gate.settings = {
-        settings.upstream.trusts_slots != 0,
+        settings.upstream.has_exact_slots != 0,
         settings.upstream.reserved_for_calls / 100.0,
-        settings.upstream.trusts_slots != 0};
+        settings.upstream.has_exact_slots != 0};
     node->control.retry_slack = settings.retries.fleet_slack;
     node->services.path.limiter.longest_wait = settings.rates.longest_wait;
     node->services.path.limiter.has_loans =
@@ -620,13 +620,13 @@
     node.settings.log = next.log;
     {
         const std::scoped_lock lock(node.decisions.mutex);
-        node.decisions.most_per_second = next.log.decisions_per_second;
+        node.decisions.max_lines_per_second = next.log.decisions_per_second;
     }
     asio::post(
         node.control.io,
-        [&node, trust = next.key_trust]
+        [&node, trust = next.max_key_staleness]
         {
-            node.control.key_trust = trust;
+            node.control.max_key_staleness = trust;
         });
     const bool needs_restart = next.name != node.settings.name ||
                                next.listen != node.settings.listen ||
--- a/src/adapters/node_services.hpp
+++ b/src/adapters/node_services.hpp
@@ -55,7 +55,7 @@
     std::function<void(const event&)> record;
     // The hybrid clock for a frame that leaves, and of one that came.
     std::function<hybrid_time()> stamp_send;
-    std::function<void(hybrid_time)> note_receive;
+    std::function<void(hybrid_time)> record_receive;
     // Runs a request that came for the local upstream, from any thread.
     std::function<void(const exchange_ptr&)> run_local;
     // Hands a control message of a peer to the control thread.
--- a/src/adapters/operators_client.cpp
+++ b/src/adapters/operators_client.cpp
@@ -68,7 +68,7 @@
 
 } // namespace
 
-std::vector<absl::StatusOr<operators_reply>> ask_nodes(
+std::vector<absl::StatusOr<operators_reply>> call_nodes(
     const std::vector<ip_endpoint>& nodes, const operators_request& request,
     const operators_access& access)
 {
@@ -86,11 +86,11 @@
     return answers;
 }
 
-absl::StatusOr<operators_reply> ask_node(
+absl::StatusOr<operators_reply> call_node(
     const ip_endpoint& node, const operators_request& request,
     const operators_access& access)
 {
-    return ask_nodes({node}, request, access).front();
+    return call_nodes({node}, request, access).front();
 }
 
 } // namespace cyclamenhold
--- a/src/adapters/operators_client.hpp
+++ b/src/adapters/operators_client.hpp
@@ -36,11 +36,11 @@
 // answers are in the order of the nodes; Unavailable stands for a node that
 // was not reached, DeadlineExceeded for one whose answer did not come: its
 // request may have taken effect.
-[[nodiscard]] std::vector<absl::StatusOr<operators_reply>> ask_nodes(
+[[nodiscard]] std::vector<absl::StatusOr<operators_reply>> call_nodes(
     const std::vector<ip_endpoint>& nodes, const operators_request& request,
     const operators_access& access);
 
-[[nodiscard]] absl::StatusOr<operators_reply> ask_node(
+[[nodiscard]] absl::StatusOr<operators_reply> call_node(
     const ip_endpoint& node, const operators_request& request,
     const operators_access& access);
 
--- a/src/adapters/peer_streams.cpp
+++ b/src/adapters/peer_streams.cpp
@@ -389,7 +389,7 @@
 {
     if (frame.clock() != 0)
     {
-        link->services.note_receive(static_cast<hybrid_time>(frame.clock()));
+        link->services.record_receive(static_cast<hybrid_time>(frame.clock()));
     }
     switch (frame.body_type())
     {
--- a/src/adapters/secrets.cpp
+++ b/src/adapters/secrets.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-constexpr std::size_t shortest_secret = 16;
+constexpr std::size_t min_secret_length = 16;
 
 absl::StatusOr<std::string> read_secret_file(const std::string& path)
 {
@@ -34,11 +34,11 @@
         add_finding(found, where, file + " cannot be read");
         return {};
     }
-    if (secret->size() < shortest_secret)
+    if (secret->size() < min_secret_length)
     {
         add_finding(
             found, where,
-            "must have at least " + std::to_string(shortest_secret) +
+            "must have at least " + std::to_string(min_secret_length) +
                 " characters");
         return {};
     }
--- a/src/adapters/settings.cpp
+++ b/src/adapters/settings.cpp
@@ -68,7 +68,7 @@
 struct settings_reader
 {
     settings_result& result;
-    settings_places seen;
+    settings_pointers seen;
 };
 
 void read_number(
@@ -156,7 +156,7 @@
         return std::string(entry.place);
     }
 
-    void operator()(member_of<std::string> member) const
+    void operator()(member_accessor<std::string> member) const
     {
         const auto text = read_text(place(), value, found());
         if (text && text->empty())
@@ -171,7 +171,7 @@
 
     template <class Number>
     requires std::is_integral_v<Number>
-    void operator()(member_of<Number> member) const
+    void operator()(member_accessor<Number> member) const
     {
         read_number(
             entry, value, reader,
@@ -181,7 +181,7 @@
             });
     }
 
-    void operator()(member_of<double> member) const
+    void operator()(member_accessor<double> member) const
     {
         json::error_code error;
         const auto number = value.to_number<double>(error);
@@ -198,7 +198,7 @@
         member(reader.result.settings) = number;
     }
 
-    void operator()(member_of<std::chrono::milliseconds> member) const
+    void operator()(member_accessor<std::chrono::milliseconds> member) const
     {
         read_number(
             entry, value, reader,
@@ -209,7 +209,7 @@
             });
     }
 
-    void operator()(member_of<ip_endpoint> member) const
+    void operator()(member_accessor<ip_endpoint> member) const
     {
         if (const auto endpoint = read_endpoint(place(), value, found()))
         {
@@ -217,7 +217,7 @@
         }
     }
 
-    void operator()(member_of<std::optional<ip_endpoint>> member) const
+    void operator()(member_accessor<std::optional<ip_endpoint>> member) const
     {
         if (const auto endpoint = read_endpoint(place(), value, found()))
         {
@@ -225,7 +225,7 @@
         }
     }
 
-    void operator()(member_of<std::vector<ip_endpoint>> member) const
+    void operator()(member_accessor<std::vector<ip_endpoint>> member) const
     {
         const json::array* const list = value.if_array();
         if (list == nullptr)
@@ -248,7 +248,7 @@
         }
     }
 
-    void operator()(member_of<std::vector<std::string>> member) const
+    void operator()(member_accessor<std::vector<std::string>> member) const
     {
         const json::array* const list = value.if_array();
         if (list == nullptr)
@@ -268,7 +268,7 @@
 
     template <class Enum>
     requires std::is_enum_v<Enum>
-    void operator()(member_of<Enum> member) const
+    void operator()(member_accessor<Enum> member) const
     {
         const auto text = read_text(place(), value, found());
         if (!text)
--- a/src/adapters/settings.hpp
+++ b/src/adapters/settings.hpp
@@ -83,7 +83,7 @@
 struct upstream_settings
 {
     // The announced slots are what the upstream really runs at once.
-    std::uint32_t trusts_slots = 0;
+    std::uint32_t has_exact_slots = 0;
     // Percent of the concurrency limit that callers' requests leave to calls
     // of upstreams.
     std::uint32_t reserved_for_calls = 0;
@@ -148,7 +148,7 @@
     std::uint32_t event_ring_size = 65'536;
     // Keys are trusted for so long after the configuration here was last known
     // to be the newest; zero for ever.
-    std::chrono::milliseconds key_trust{0};
+    std::chrono::milliseconds max_key_staleness{0};
     // A planned stop that takes longer cuts what is left.
     std::chrono::milliseconds stop_timeout{30'000};
 };
--- a/src/adapters/settings_checks.cpp
+++ b/src/adapters/settings_checks.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint32_t loopback_network = 127;
 constexpr unsigned network_shift = 24;
 
-void check_presence(settings_result& result, const settings_places& seen)
+void check_presence(settings_result& result, const settings_pointers& seen)
 {
     for (const auto& entry : settings_table())
     {
@@ -29,7 +29,7 @@
 // Either the value itself or its file must be given, not both.
 void check_secret(
     const std::string& place, settings_result& result,
-    const settings_places& seen)
+    const settings_pointers& seen)
 {
     const bool direct = seen.contains(place);
     const bool file = seen.contains(place + "_file");
@@ -49,7 +49,7 @@
     return endpoint.address >> network_shift == loopback_network;
 }
 
-void check_listen(settings_result& result, const settings_places& seen)
+void check_listen(settings_result& result, const settings_pointers& seen)
 {
     auto& [settings, found] = result;
     const auto& listen = settings.listen;
@@ -87,7 +87,7 @@
     }
 }
 
-void check_advertise(settings_result& result, const settings_places& seen)
+void check_advertise(settings_result& result, const settings_pointers& seen)
 {
     auto& [settings, found] = result;
     if (settings.advertise)
@@ -129,7 +129,7 @@
 
 } // namespace
 
-void check_settings(settings_result& result, const settings_places& seen)
+void check_settings(settings_result& result, const settings_pointers& seen)
 {
     check_presence(result, seen);
     check_secret("/fleet_secret", result, seen);
--- a/src/adapters/settings_checks.hpp
+++ b/src/adapters/settings_checks.hpp
@@ -11,10 +11,10 @@
 {
 
 // JSON pointers of the settings that the file gives.
-using settings_places = std::set<std::string, std::less<>>;
+using settings_pointers = std::set<std::string, std::less<>>;
 
 // Adds a finding for each required setting that is missing and for settings
 // that contradict each other.
-void check_settings(settings_result& result, const settings_places& seen);
+void check_settings(settings_result& result, const settings_pointers& seen);
 
 } // namespace cyclamenhold
--- a/src/adapters/settings_reference.cpp
+++ b/src/adapters/settings_reference.cpp
@@ -17,32 +17,33 @@
 {
     node_settings& settings;
 
-    std::string operator()(member_of<std::string> member) const
+    std::string operator()(member_accessor<std::string> member) const
     {
         return in_code(member(settings));
     }
     template <class Number>
     requires std::is_integral_v<Number> std::string
-    operator()(member_of<Number> member) const
+    operator()(member_accessor<Number> member) const
     {
         return std::to_string(member(settings));
     }
-    std::string operator()(member_of<double> member) const
+    std::string operator()(member_accessor<double> member) const
     {
         return std::to_string(static_cast<std::uint64_t>(member(settings)));
     }
-    std::string operator()(member_of<std::chrono::milliseconds> member) const
+    std::string
+    operator()(member_accessor<std::chrono::milliseconds> member) const
     {
         return std::to_string(member(settings).count());
     }
     template <class Enum>
     requires std::is_enum_v<Enum> std::string
-    operator()(member_of<Enum> member) const
+    operator()(member_accessor<Enum> member) const
     {
         return in_code(std::string(name_of(member(settings))));
     }
     template <class Value>
-    std::string operator()(member_of<Value> /*member*/) const
+    std::string operator()(member_accessor<Value> /*member*/) const
     {
         return "none";
     }
@@ -50,30 +51,32 @@
 
 struct type_text
 {
-    std::string operator()(member_of<std::string> /*member*/) const
+    std::string operator()(member_accessor<std::string> /*member*/) const
     {
         return "text";
     }
-    std::string operator()(member_of<ip_endpoint> /*member*/) const
+    std::string operator()(member_accessor<ip_endpoint> /*member*/) const
     {
         return "`IPv4:port`";
     }
     std::string
-    operator()(member_of<std::optional<ip_endpoint>> /*member*/) const
+    operator()(member_accessor<std::optional<ip_endpoint>> /*member*/) const
     {
         return "`IPv4:port`";
     }
-    std::string operator()(member_of<std::vector<ip_endpoint>> /*member*/) const
+    std::string
+    operator()(member_accessor<std::vector<ip_endpoint>> /*member*/) const
     {
         return "array of `IPv4:port`";
     }
-    std::string operator()(member_of<std::vector<std::string>> /*member*/) const
+    std::string
+    operator()(member_accessor<std::vector<std::string>> /*member*/) const
     {
         return "array of texts";
     }
     template <class Enum>
     requires std::is_enum_v<Enum> std::string
-    operator()(member_of<Enum> /*member*/) const
+    operator()(member_accessor<Enum> /*member*/) const
     {
         std::string text;
         for (const auto& [value, name] : enum_names<Enum>::table)
@@ -83,7 +86,7 @@
         return text;
     }
     template <class Number>
-    std::string operator()(member_of<Number> /*member*/) const
+    std::string operator()(member_accessor<Number> /*member*/) const
     {
         return "";
     }
--- a/src/adapters/settings_table.cpp
+++ b/src/adapters/settings_table.cpp
@@ -148,7 +148,7 @@
         "/rates/term_ms", CYCLAMEN_MEMBER(rates.term), optional, 100, 600'000,
         "ms", "How long a pledge or a loan of rate lasts."},
     setting_entry{
-        "/upstream/trusts_slots", CYCLAMEN_MEMBER(upstream.trusts_slots),
+        "/upstream/trusts_slots", CYCLAMEN_MEMBER(upstream.has_exact_slots),
         optional, 0, 1, "",
         "1 where the slots that upstreams announce are what they really run "
         "at once; otherwise the limit is learned."},
@@ -182,7 +182,8 @@
         "Most lines about single requests and beliefs; those beyond are "
         "counted."},
     setting_entry{
-        "/key_trust_ms", CYCLAMEN_MEMBER(key_trust), optional, 0, hour_ms, "ms",
+        "/key_trust_ms", CYCLAMEN_MEMBER(max_key_staleness), optional, 0,
+        hour_ms, "ms",
         "Keys are refused when the configuration was last known to be the "
         "newest longer ago than this; 0 for never."},
     setting_entry{
--- a/src/adapters/settings_table.hpp
+++ b/src/adapters/settings_table.hpp
@@ -18,15 +18,16 @@
 
 // Gives the member of the settings that an entry fills.
 template <class Value>
-using member_of = Value& (*)(node_settings&);
+using member_accessor = Value& (*)(node_settings&);
 
 using setting_member = std::variant<
-    member_of<std::string>, member_of<std::uint32_t>, member_of<std::uint64_t>,
-    member_of<std::chrono::milliseconds>, member_of<double>,
-    member_of<ip_endpoint>, member_of<std::optional<ip_endpoint>>,
-    member_of<std::vector<ip_endpoint>>, member_of<log_level>,
-    member_of<interface_kind>, member_of<rate_sharing>,
-    member_of<std::vector<std::string>>>;
+    member_accessor<std::string>, member_accessor<std::uint32_t>,
+    member_accessor<std::uint64_t>, member_accessor<std::chrono::milliseconds>,
+    member_accessor<double>, member_accessor<ip_endpoint>,
+    member_accessor<std::optional<ip_endpoint>>,
+    member_accessor<std::vector<ip_endpoint>>, member_accessor<log_level>,
+    member_accessor<interface_kind>, member_accessor<rate_sharing>,
+    member_accessor<std::vector<std::string>>>;
 
 enum class setting_presence : std::uint8_t
 {
--- a/src/adapters/shared_event_ring.cpp
+++ b/src/adapters/shared_event_ring.cpp
@@ -53,7 +53,7 @@
         });
 }
 
-void shared_event_ring::note_receive(hybrid_time remote)
+void shared_event_ring::record_receive(hybrid_time remote)
 {
     const std::uint64_t wall_ms = wall_clock_ms();
     advance_clock(
--- a/src/adapters/shared_event_ring.hpp
+++ b/src/adapters/shared_event_ring.hpp
@@ -25,7 +25,7 @@
     [[nodiscard]] hybrid_time stamp_send();
 
     // Follows the clock of a message that arrived.
-    void note_receive(hybrid_time remote);
+    void record_receive(hybrid_time remote);
 
     [[nodiscard]] event_page page(const event_query& query) const;
     [[nodiscard]] std::uint64_t overwritten() const;
--- a/src/apps/cyclamen-ctl/ctl.cpp
+++ b/src/apps/cyclamen-ctl/ctl.cpp
@@ -75,7 +75,7 @@
 absl::StatusOr<operators_reply>
 ask(const ctl_session& session, const operators_request& request)
 {
-    return ask_node(session.arguments.node, request, session.access);
+    return call_node(session.arguments.node, request, session.access);
 }
 
 exit_code not_reached(const ctl_session& session, const absl::Status& status)
--- a/src/apps/cyclamen-trace/collect_events.cpp
+++ b/src/apps/cyclamen-trace/collect_events.cpp
@@ -50,7 +50,7 @@
     if (arguments.discover)
     {
         for (const auto& status :
-             ask_nodes(arguments.nodes, {"GET", "/v1/status", ""}, access))
+             call_nodes(arguments.nodes, {"GET", "/v1/status", ""}, access))
         {
             if (status.ok() && status->status == http_ok)
             {
@@ -100,7 +100,7 @@
 {
     const auto nodes = all_nodes(arguments, access);
     const auto target = write_event_query(arguments.query, arguments.workspace);
-    const auto answers = ask_nodes(nodes, {"GET", target, ""}, access);
+    const auto answers = call_nodes(nodes, {"GET", target, ""}, access);
     std::vector<node_events> collected(nodes.size());
     for (std::size_t index = 0; index < nodes.size(); ++index)
     {
@@ -112,7 +112,7 @@
         {
             event_query next = arguments.query;
             next.since = events.page.records.back().time;
-            const auto answer = ask_node(
+            const auto answer = call_node(
                 nodes[index],
                 {"GET", write_event_query(next, arguments.workspace), ""},
                 access);
--- a/tests/adapters/decision_log_test.cpp
+++ b/tests/adapters/decision_log_test.cpp
@@ -63,7 +63,7 @@
 TEST(decision_log, many_refusals_at_once)
 {
     written_decisions written("cyclamen_decision_log_many");
-    written.decisions.most_per_second = 10;
+    written.decisions.max_lines_per_second = 10;
     for (int i = 0; i < 100; ++i)
     {
         log_decision(
--- a/tests/adapters/event_ring_test.cpp
+++ b/tests/adapters/event_ring_test.cpp
@@ -50,7 +50,7 @@
         SCOPED_TRACE("a message from a host ahead moves the clock on");
         const hybrid_time ahead =
             make_hybrid_time(wall_ms_of(page.records.back().time) + 5'000);
-        ring.note_receive(ahead);
+        ring.record_receive(ahead);
         EXPECT_GT(ring.stamp_send(), ahead);
     }
 }
--- a/tests/adapters/metrics_test.cpp
+++ b/tests/adapters/metrics_test.cpp
@@ -26,7 +26,7 @@
     add(counted, counter_id::retries, 3);
     set(counted, gauge_id::gate_limit, 40);
     change(counted, gauge_id::gate_limit, -2);
-    const std::string text = write_prometheus(counted);
+    const std::string text = to_prometheus_text(counted);
     {
         SCOPED_TRACE("labelled counters");
         EXPECT_THAT(
@@ -94,7 +94,7 @@
     }
     {
         SCOPED_TRACE("the text has cumulative buckets that end at the count");
-        const std::string text = write_prometheus(counted);
+        const std::string text = to_prometheus_text(counted);
         EXPECT_THAT(
             text,
             HasSubstr("cyclamen_added_seconds_bucket{le=\"+Inf\"} 102\n"));
@@ -126,16 +126,16 @@
     threads.clear();
     EXPECT_EQ(value_of(counted, counter_id::attempts), 40'000U);
     EXPECT_THAT(
-        write_prometheus(counted),
+        to_prometheus_text(counted),
         HasSubstr("\ncyclamen_request_seconds_count 40000\n"));
 }
 
 TEST(metrics, memory)
 {
     metrics counted;
-    measure_memory(counted);
+    update_resident_bytes(counted);
     EXPECT_THAT(
-        write_prometheus(counted),
+        to_prometheus_text(counted),
         Not(HasSubstr("\ncyclamen_resident_bytes 0\n")));
 }
 
