--- a/src/adapters/settings.cpp
+++ b/src/adapters/settings.cpp
@@ -47,7 +47,7 @@
     {
         add_finding(
             document.found, place_in_text(text, parsed),
-            "more text after the settings");
+            "unexpected text after the settings object");
         return document;
     }
     if (!error)
@@ -64,11 +64,11 @@
     return document;
 }
 
-// What is known while a settings file is read.
+// The state of reading one settings file.
 struct settings_reader
 {
     settings_result& result;
-    settings_pointers seen;
+    settings_pointers given;
 };
 
 void read_number(
@@ -81,7 +81,7 @@
     {
         add_finding(
             reader.result.found, std::string(entry.place),
-            "must be a whole number that is not negative");
+            "must be a non-negative integer");
         return;
     }
     if (number < entry.lowest || number > entry.highest)
@@ -95,7 +95,7 @@
     assign(number);
 }
 
-// The text of a string, or nullopt with a finding.
+// The text of a JSON string; nullopt, with a finding added, for another type.
 std::optional<std::string_view>
 read_text(const std::string& place, const json::value& value, findings& found)
 {
@@ -120,13 +120,13 @@
     {
         add_finding(
             found, place,
-            "must be an IPv4 address and a port, like "
+            "must be an IPv4 address and a port, such as "
             "\"10.0.0.1:7400\"");
     }
     return endpoint;
 }
 
-// "a, b or c".
+// The names of an enum's values, as "a, b or c".
 template <class Enum>
 std::string choices_of()
 {
@@ -140,7 +140,7 @@
     return text;
 }
 
-// Reads one value into the member of the type that the table names.
+// Reads one JSON value into the settings member of the entry, by its type.
 struct value_reader
 {
     const setting_entry& entry;
@@ -301,7 +301,7 @@
         });
 }
 
-// A member's name inside a JSON pointer.
+// Escapes a member's name for a JSON pointer (RFC 6901).
 std::string escape_pointer(std::string_view name)
 {
     std::string escaped;
@@ -334,7 +334,7 @@
         const json::value& value = member.value();
         if (const setting_entry* const entry = find_entry(place))
         {
-            reader.seen.insert(place);
+            reader.given.insert(place);
             std::visit(value_reader{*entry, value, reader}, entry->member);
         }
         else if (!is_group(place))
@@ -371,7 +371,7 @@
     }
     settings_reader reader{result, {}};
     read_object(*object, "", reader);
-    check_settings(result, reader.seen);
+    check_settings(result, reader.given);
     return result;
 }
 
--- a/src/adapters/settings.hpp
+++ b/src/adapters/settings.hpp
@@ -1,4 +1,5 @@
-// The settings of a node: a JSON file with comments, read once at start.
+// The settings of a node: a JSON file that may contain comments. Read at start
+// and on a reload.
 #pragma once
 
 #include "adapters/log_level.hpp"
@@ -17,8 +18,8 @@
 namespace cyclamenhold
 {
 
-// Whose interface the node speaks: how callers, the upstream, operators and
-// the store spell what they say.
+// Which protocol the node uses with callers, the upstream, operators and the
+// store.
 enum class interface_kind : std::uint8_t
 {
     cyclamen,
@@ -44,7 +45,8 @@
     ip_endpoint peers;
     // The operators' API, metrics and events.
     ip_endpoint operators;
-    // Answers 200 while the node is ready for callers.
+    // HTTP/1.1 for readiness checks: replies 200 while the node accepts
+    // callers.
     std::optional<ip_endpoint> ready = std::nullopt;
     bool operator==(const listen_settings&) const = default;
 };
@@ -74,33 +76,35 @@
     double window_seconds = 0.0;
     double overage = 0.0;
     double slack = 0.0;
-    // The longest that a request waits for a token.
+    // Maximum time that a request waits for a token.
     std::chrono::milliseconds longest_wait{500};
-    // How long a pledge or a loan lasts.
+    // Term of a weight lease.
     std::chrono::milliseconds term{5'000};
 };
 
 struct upstream_settings
 {
-    // The announced slots are what the upstream really runs at once.
+    // 1 if an upstream runs exactly as many requests at once as it announces
+    // slots; 0 if the concurrency limit is estimated.
     std::uint32_t has_exact_slots = 0;
-    // Percent of the concurrency limit that callers' requests leave to calls
-    // of upstreams.
+    // Percentage of the concurrency limit that callers' requests leave to
+    // child calls.
     std::uint32_t reserved_for_calls = 0;
 };
 
 struct retry_settings
 {
-    // Repeats that the whole fleet may send to one service in
-    // `retry_window`, beyond a tenth of the requests for it.
+    // Retries that the whole fleet may save up for one service, beyond a tenth
+    // of the requests for it; zero for no
+    // bound.
     double fleet_slack = 0.0;
 };
 
 struct claim_settings
 {
-    // How long the outcome of a never-repeat request is kept.
+    // How long the outcome of a never-repeat request is stored.
     std::chrono::milliseconds retention{600'000};
-    // How long a claim may be used after it was granted.
+    // How long a claim is valid after it was granted.
     std::chrono::milliseconds term{30'000};
 };
 
@@ -109,7 +113,8 @@
     log_level level = log_level::info;
     // "-" for the standard error stream.
     std::string file = "-";
-    // Lines about single requests and beliefs; those beyond are counted.
+    // Maximum rate of lines about single requests; lines beyond it are counted
+    // instead.
     std::uint32_t decisions_per_second = 50;
 };
 
@@ -118,23 +123,24 @@
     std::string name;
     std::string data_centre;
     std::string region;
-    // All data centres, each with the same share of the rates, where the
-    // configuration names none.
+    // All data centres, each with the same share of the rates. Used when the
+    // configuration has none.
     std::vector<std::string> data_centres;
     interface_kind interface = interface_kind::cyclamen;
-    // The service of the upstream on this host, told to other upstreams with
+    // The service of the upstream on this host; sent to other upstreams with
     // the requests that enter here.
     std::string service;
     listen_settings listen;
-    // Where other nodes reach this one; `listen.peers` when not given.
+    // The address at which other nodes reach this one; `listen.peers` if not
+    // set.
     std::optional<ip_endpoint> advertise;
-    // One of each pair is given.
+    // Exactly one of each pair is set: the file or the secret itself.
     std::string fleet_secret_file;
     std::string fleet_secret;
     std::string operator_credential_file;
     std::string operator_credential;
     ip_endpoint platform;
-    // Peer endpoints to join by, beside those found in the platform.
+    // Peer endpoints for joining, in addition to those stored in the platform.
     std::vector<ip_endpoint> seeds;
     std::uint32_t request_threads = 2;
     limit_settings limits;
@@ -144,33 +150,34 @@
     upstream_settings upstream;
     retry_settings retries;
     log_settings log;
-    // Events kept in memory for the time line.
+    // Capacity of the event ring for the time line, in events.
     std::uint32_t event_ring_size = 65'536;
-    // Keys are trusted for so long after the configuration here was last known
-    // to be the newest; zero for ever.
+    // Keys are accepted for this time after the local configuration was last
+    // confirmed to be the newest; zero for no limit.
     std::chrono::milliseconds max_key_staleness{0};
-    // A planned stop that takes longer cuts what is left.
+    // Requests that still run after this time of a planned stop are aborted.
     std::chrono::milliseconds stop_timeout{30'000};
 };
 
 struct settings_result
 {
-    // Meaningful only without findings.
+    // Valid only if `found` is empty.
     node_settings settings;
     findings found;
 };
 
-// Reads the text of a settings file. Each finding is placed by a JSON pointer,
-// or by line and column when the text is not JSON.
+// Parses the text of a settings file. The place of a finding is a JSON pointer,
+// or a line and column if the text is not JSON.
 [[nodiscard]] settings_result parse_settings(std::string_view text);
 
-// Reads a settings file; a file that cannot be read is a finding, too.
+// Reads and parses a settings file. An unreadable file is a finding whose place
+// is the path.
 [[nodiscard]] settings_result load_settings(const std::string& path);
 
-// Where other nodes reach this one.
+// The endpoint at which other nodes reach this one.
 [[nodiscard]] ip_endpoint advertised_endpoint(const node_settings& settings);
 
-// The table of all settings as a page for operators, in Markdown.
+// The reference table of all settings for operators, in Markdown.
 [[nodiscard]] std::string settings_reference();
 
 } // namespace cyclamenhold
--- a/src/adapters/settings_checks.cpp
+++ b/src/adapters/settings_checks.cpp
@@ -14,29 +14,30 @@
 constexpr std::uint32_t loopback_network = 127;
 constexpr unsigned network_shift = 24;
 
-void check_presence(settings_result& result, const settings_pointers& seen)
+void check_presence(settings_result& result, const settings_pointers& given)
 {
     for (const auto& entry : settings_table())
     {
         if (entry.presence == setting_presence::required &&
-            !seen.contains(entry.place))
+            !given.contains(entry.place))
         {
             add_finding(result.found, std::string(entry.place), "is missing");
         }
     }
 }
 
-// Either the value itself or its file must be given, not both.
+// Exactly one of the value itself and its file must be present.
 void check_secret(
     const std::string& place, settings_result& result,
-    const settings_pointers& seen)
+    const settings_pointers& given)
 {
-    const bool direct = seen.contains(place);
-    const bool file = seen.contains(place + "_file");
+    const bool direct = given.contains(place);
+    const bool file = given.contains(place + "_file");
     if (direct && file)
     {
         add_finding(
-            result.found, place, "cannot stand beside " + place + "_file");
+            result.found, place,
+            "must not be set together with " + place + "_file");
     }
     if (!direct && !file)
     {
@@ -49,11 +50,12 @@
     return endpoint.address >> network_shift == loopback_network;
 }
 
-void check_listen(settings_result& result, const settings_pointers& seen)
+void check_listen(settings_result& result, const settings_pointers& given)
 {
     auto& [settings, found] = result;
     const auto& listen = settings.listen;
-    if (seen.contains("/listen/upstream") && listen.upstream != ip_endpoint{} &&
+    if (given.contains("/listen/upstream") &&
+        listen.upstream != ip_endpoint{} &&
         settings.interface == interface_kind::cyclamen &&
         !is_loopback(listen.upstream))
     {
@@ -87,7 +89,7 @@
     }
 }
 
-void check_advertise(settings_result& result, const settings_pointers& seen)
+void check_advertise(settings_result& result, const settings_pointers& given)
 {
     auto& [settings, found] = result;
     if (settings.advertise)
@@ -95,15 +97,16 @@
         if (settings.advertise->port == 0 || settings.advertise->address == 0)
         {
             add_finding(
-                found, "/advertise", "must be an address and port to reach");
+                found, "/advertise",
+                "must be an address and a port that other nodes can reach");
         }
         return;
     }
-    if (seen.contains("/listen/peers") && settings.listen.peers.address == 0)
+    if (given.contains("/listen/peers") && settings.listen.peers.address == 0)
     {
         add_finding(
             found, "/advertise",
-            "is missing, and /listen/peers names no address to reach");
+            "is missing, but required because /listen/peers is 0.0.0.0");
     }
 }
 
@@ -129,13 +132,13 @@
 
 } // namespace
 
-void check_settings(settings_result& result, const settings_pointers& seen)
+void check_settings(settings_result& result, const settings_pointers& given)
 {
-    check_presence(result, seen);
-    check_secret("/fleet_secret", result, seen);
-    check_secret("/operator_credential", result, seen);
-    check_listen(result, seen);
-    check_advertise(result, seen);
+    check_presence(result, given);
+    check_secret("/fleet_secret", result, given);
+    check_secret("/operator_credential", result, given);
+    check_listen(result, given);
+    check_advertise(result, given);
     check_membership(result);
     check_platform(result);
 }
--- a/src/adapters/settings_checks.hpp
+++ b/src/adapters/settings_checks.hpp
@@ -1,4 +1,4 @@
-// Checks of the settings as a whole, after each value was read.
+// Checks across settings, done after the single values are read.
 #pragma once
 
 #include "adapters/settings.hpp"
@@ -10,11 +10,11 @@
 namespace cyclamenhold
 {
 
-// JSON pointers of the settings that the file gives.
+// JSON pointers of the settings that are present in the file.
 using settings_pointers = std::set<std::string, std::less<>>;
 
-// Adds a finding for each required setting that is missing and for settings
-// that contradict each other.
-void check_settings(settings_result& result, const settings_pointers& seen);
+// Adds a finding for each missing required setting and for each conflict
+// between settings.
+void check_settings(settings_result& result, const settings_pointers& given);
 
 } // namespace cyclamenhold
--- a/src/adapters/settings_reference.cpp
+++ b/src/adapters/settings_reference.cpp
@@ -12,7 +12,7 @@
     return text.empty() ? "none" : '`' + text + '`';
 }
 
-// The value that a member has when the file does not name it.
+// The default value of a setting, as text.
 struct default_text
 {
     node_settings& settings;
@@ -49,6 +49,7 @@
     }
 };
 
+// The type of a setting that is not a number, as text.
 struct type_text
 {
     std::string operator()(member_accessor<std::string> /*member*/) const
--- a/src/adapters/settings_table.hpp
+++ b/src/adapters/settings_table.hpp
@@ -1,5 +1,5 @@
-// The one table of settings: where each stands, its unit and range, what it
-// means, and the member that it fills.
+// The table of all settings: place in the file, unit, range, meaning, and the
+// member that holds the value. Parsing and the reference page both use it.
 #pragma once
 
 #include "adapters/settings.hpp"
@@ -16,7 +16,7 @@
 namespace cyclamenhold
 {
 
-// Gives the member of the settings that an entry fills.
+// Returns the member of node_settings that an entry sets.
 template <class Value>
 using member_accessor = Value& (*)(node_settings&);
 
@@ -37,11 +37,11 @@
 
 struct setting_entry
 {
-    // A JSON pointer.
+    // JSON pointer to the setting.
     std::string_view place;
     setting_member member;
     setting_presence presence = setting_presence::optional;
-    // For numbers and times.
+    // Inclusive range; only for numbers and durations, both zero otherwise.
     std::uint64_t lowest = 0;
     std::uint64_t highest = 0;
     std::string_view unit;
