--- a/src/adapters/files.hpp
+++ b/src/adapters/files.hpp
@@ -1,4 +1,4 @@
-// Files that are read at start: settings and secrets.
+// Reads whole files, such as settings and secrets.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -8,7 +8,7 @@
 namespace cyclamenhold
 {
 
-// The whole text of a file; NotFound names the path.
+// Returns the content of a file, or NotFound with the path in its message.
 [[nodiscard]] absl::StatusOr<std::string> read_file(const std::string& path);
 
 } // namespace cyclamenhold
--- a/src/adapters/json_server.cpp
+++ b/src/adapters/json_server.cpp
@@ -45,7 +45,7 @@
     co_return !error;
 }
 
-// Serves one request; false when the connection is over.
+// Serves one request; returns false if the connection must be closed.
 asio::awaitable<bool>
 serve_one(json_connection& connection, const json_handler& handler)
 {
@@ -65,7 +65,7 @@
     {
         co_return false;
     }
-    // The handler takes as long as it likes: a watch waits.
+    // No timeout for the handler: a watch waits until there is a change.
     connection.stream.expires_never();
     auto message = parser.release();
     const bool keep_alive = message.keep_alive();
@@ -108,7 +108,8 @@
         auto [error, socket] = co_await acceptor->async_accept(as_result);
         if (error)
         {
-            // Out of descriptors, or closed; don't spin.
+            // No free file descriptor, or the acceptor is closed; the pause
+            // avoids a busy loop.
             pause.expires_after(10ms);
             co_await pause.async_wait(as_result);
             continue;
--- a/src/adapters/json_text.cpp
+++ b/src/adapters/json_text.cpp
@@ -14,7 +14,8 @@
     return {text.data(), text.size()};
 }
 
-// A value that fits on the line of its name.
+// Formats a scalar or an empty container, which is written on the line of its
+// name.
 std::string scalar_text(const json::value& value)
 {
     if (const json::string* const text = value.if_string())
@@ -30,7 +31,8 @@
            (value.is_array() && !value.get_array().empty());
 }
 
-// One line for an object of scalars: "name=value name=value".
+// Formats an object without nested values on one line, "name=value name=value";
+// nullopt for other values.
 std::optional<std::string> flat_text(const json::value& value)
 {
     const json::object* const object = value.if_object();
--- a/src/adapters/operators_api.cpp
+++ b/src/adapters/operators_api.cpp
@@ -82,7 +82,7 @@
 operator_reply plan_reply(const operators_api& api, const std::string& body)
 {
     const control_loop& loop = *api.control;
-    const auto [found, made, diff] = plan_change(
+    const auto [found, plan, diff] = plan_change(
         *loop.state.chain.current, body, new_operation_id(), wall_clock_ms());
     if (!found.empty())
     {
@@ -90,8 +90,8 @@
     }
     return json_reply(
         200, json::object{
-                 {"plan", sign_plan(made, loop.services.fleet_secret)},
-                 {"base_revision", made.base_revision},
+                 {"plan", sign_plan(plan, loop.services.fleet_secret)},
+                 {"base_revision", plan.base_revision},
                  {"diff", json::value_from(diff)}});
 }
 
@@ -104,7 +104,8 @@
     case commit_status::conflict:
         return json_reply(
             409, json::object{
-                     {"message", "another change got in between; plan again"},
+                     {"message", "the configuration has changed since the plan "
+                                 "was made; plan again"},
                      {"revision", result.revision},
                      {"changes", json::array{result.detail}}});
     case commit_status::invalid:
@@ -113,10 +114,11 @@
         break;
     }
     return message_reply(
-        503, "the platform did not answer; confirming again is safe");
+        503,
+        "no answer from the platform; it is safe to confirm the plan again");
 }
 
-// The token of {"plan": "..."}; empty when there is none.
+// The token in {"plan": "..."}; empty if there is none.
 std::string plan_token(const std::string& body)
 {
     boost::system::error_code error;
@@ -141,19 +143,20 @@
     if (token.empty())
     {
         done(json_reply(
-            422, findings_json({{"/plan", "must be the text of a plan"}})));
+            422, findings_json(
+                     {{"/plan", "must be the token of a plan, a string"}})));
         return;
     }
-    const auto opened =
+    const auto plan =
         verify_plan(token, loop.services.fleet_secret, wall_clock_ms());
-    if (!opened.ok())
+    if (!plan.ok())
     {
-        const std::string message(opened.status().message());
+        const std::string message(plan.status().message());
         done(json_reply(422, findings_json({{"/plan", message}})));
         return;
     }
     commit_change(
-        loop, opened->base_revision, opened->operation_id, opened->operations,
+        loop, plan->base_revision, plan->operation_id, plan->operations,
         [done = std::move(done)](const commit_result& result)
         {
             done(commit_reply(result));
@@ -165,13 +168,13 @@
 void handle_operator_request(
     operators_api& api, const operator_request& request, operator_callback done)
 {
-    const bool get = request.method == "GET";
-    if (get && request.target == "/v1/status")
+    const bool is_get = request.method == "GET";
+    if (is_get && request.target == "/v1/status")
     {
         done(status_reply(api));
         return;
     }
-    if (get && request.target == "/v1/configuration")
+    if (is_get && request.target == "/v1/configuration")
     {
         done(
             json_reply(200, to_json_object(*api.control->state.chain.current)));
@@ -187,12 +190,12 @@
         confirm_plan(api, request.body, std::move(done));
         return;
     }
-    if (get && request.target == "/metrics")
+    if (is_get && request.target == "/metrics")
     {
         done({200, "text/plain; version=0.0.4", api.metrics()});
         return;
     }
-    if (get && request.target.starts_with("/v1/events"))
+    if (is_get && request.target.starts_with("/v1/events"))
     {
         done(api.events(request.target));
         return;
--- a/src/adapters/operators_api.hpp
+++ b/src/adapters/operators_api.hpp
@@ -1,5 +1,5 @@
 // The operators' HTTP port: intents, status, configuration, events, metrics.
-// Served on the control thread, which owns what it shows.
+// Served on the control thread, which owns the state that the port reports.
 #pragma once
 
 #include "adapters/control_loop.hpp"
@@ -30,25 +30,26 @@
 
 using operator_callback = std::function<void(operator_reply)>;
 
-// What the port needs beside the control loop.
+// The state and callbacks of the operators' port.
 struct operators_api
 {
     control_loop* control = nullptr;
     std::string credential;
     std::string node_name;
-    // The text of GET /metrics.
+    // Returns the body of GET /metrics.
     std::function<std::string()> metrics;
-    // The answer to GET /v1/events, by its target.
+    // Returns the reply to GET /v1/events for a target (path and query).
     std::function<operator_reply(const std::string&)> events;
-    // Whether callers should come here, for GET /ready.
+    // Whether this node accepts callers, for GET /ready.
     std::function<bool()> ready;
-    // GET /metrics needs no credential.
+    // Whether GET /metrics needs no credential.
     bool has_open_metrics = false;
-    // Begins the node's planned stop.
+    // Starts the node's planned stop.
     std::function<void()> drain;
 };
 
-// Answers one authenticated request; calls back once, at once or later.
+// Handles one authenticated request. Calls `done` exactly once, before this
+// returns or later.
 void handle_operator_request(
     operators_api& api, const operator_request& request,
     operator_callback done);
--- a/src/adapters/operators_client.cpp
+++ b/src/adapters/operators_client.cpp
@@ -41,13 +41,14 @@
     case http_call_status::answered:
         break;
     case http_call_status::not_sent:
-        return absl::UnavailableError(to_string(node) + " was not reached");
+        return absl::UnavailableError(
+            to_string(node) + " could not be reached");
     case http_call_status::broken:
         return absl::DeadlineExceededError(
             to_string(node) + " closed the connection without an answer");
     case http_call_status::timed_out:
         return absl::DeadlineExceededError(
-            to_string(node) + " did not answer in time");
+            to_string(node) + " sent no answer before the timeout");
     }
     if (result.body_bytes > result.body.size())
     {
@@ -57,8 +58,8 @@
     return operators_reply{result.http_status, std::move(result.body)};
 }
 
-asio::awaitable<void>
-ask(ip_endpoint node, http_call call, absl::StatusOr<operators_reply>& answer)
+asio::awaitable<void> send_call(
+    ip_endpoint node, http_call call, absl::StatusOr<operators_reply>& answer)
 {
     http_pool pool(
         co_await asio::this_coro::executor,
@@ -79,7 +80,7 @@
     {
         asio::co_spawn(
             context,
-            ask(nodes[index], call_of(request, access), answers[index]),
+            send_call(nodes[index], call_of(request, access), answers[index]),
             asio::detached);
     }
     context.run();
--- a/src/adapters/operators_client.hpp
+++ b/src/adapters/operators_client.hpp
@@ -1,4 +1,4 @@
-// Calls to the operators' API of nodes, for the command line tools.
+// A blocking client of nodes' operators' API, for the command line tools.
 #pragma once
 
 #include "core/base/ip_endpoint.hpp"
@@ -25,21 +25,22 @@
     std::string body;
 };
 
-// How the operators' API is reached.
+// The credential and the timeout of calls to the operators' API.
 struct operators_access
 {
     std::string credential;
     duration timeout = 10s;
 };
 
-// Sends the same request to all nodes at once and waits for all of them. The
-// answers are in the order of the nodes; Unavailable stands for a node that
-// was not reached, DeadlineExceeded for one whose answer did not come: its
-// request may have taken effect.
+// Sends the same request to all nodes concurrently and waits for all replies,
+// which are in the order of the nodes. Errors: Unavailable if the request was
+// not sent; DeadlineExceeded if there was no reply, when the request may have
+// taken effect; ResourceExhausted if the reply is too long.
 [[nodiscard]] std::vector<absl::StatusOr<operators_reply>> call_nodes(
     const std::vector<ip_endpoint>& nodes, const operators_request& request,
     const operators_access& access);
 
+// As call_nodes, for one node.
 [[nodiscard]] absl::StatusOr<operators_reply> call_node(
     const ip_endpoint& node, const operators_request& request,
     const operators_access& access);
--- a/src/adapters/operators_port.cpp
+++ b/src/adapters/operators_port.cpp
@@ -1,4 +1,5 @@
-// The HTTP side of the operators' port: connections, limits and credentials.
+// HTTP connections of the operators' port: size limits, timeouts and
+// authentication.
 #include "adapters/http_fields.hpp"
 #include "adapters/operators_api.hpp"
 
@@ -27,7 +28,8 @@
 using reply_promise = asio::experimental::concurrent_channel<void(
     boost::system::error_code, operator_reply)>;
 
-// Compares hashes, so that the time taken tells nothing of the credential.
+// Compares hashes in constant time, so that the duration reveals nothing about
+// the credential.
 bool is_credential(std::string_view offered, std::string_view expected)
 {
     std::array<unsigned char, SHA256_DIGEST_LENGTH> left{};
@@ -58,7 +60,7 @@
     {
         co_return operator_reply{
             401, "application/json",
-            "{\"message\":\"a valid operator credential is needed\"}\n"};
+            "{\"message\":\"a valid operator credential is required\"}\n"};
     }
     operator_request plain;
     plain.method = std::string(request.method_string());
