--- a/src/adapters/decision_log.cpp
+++ b/src/adapters/decision_log.cpp
@@ -7,7 +7,8 @@
 namespace
 {
 
-// Steps of a request that went well stand in the time line and the metrics.
+// Successful steps of a request are not logged: the time line and the metrics
+// have them.
 bool is_logged(event_kind kind)
 {
     switch (kind)
@@ -29,32 +30,33 @@
     }
 }
 
-// Beliefs change seldom and explain many requests, so they are never left out.
-bool is_about_request(const event& seen)
+// Other events are changes of the node's view of the fleet. They are rare and
+// explain the outcomes of many requests, so they are not limited.
+bool is_about_request(const event& what)
 {
-    return seen.trace != trace_id{};
+    return what.trace != trace_id{};
 }
 
-struct line_budget
+struct line_admission
 {
-    bool may_write = false;
+    bool is_admitted = false;
     std::uint64_t suppressed = 0;
 };
 
-line_budget take_line(decision_log& decisions, bool must_write)
+line_admission admit_line(decision_log& decisions, bool is_unlimited)
 {
     const std::scoped_lock lock(decisions.mutex);
     const time_point at = now();
-    line_budget budget;
+    line_admission admission;
     if (at - decisions.second_started >= 1s)
     {
-        budget.suppressed = std::exchange(decisions.suppressed, 0);
+        admission.suppressed = std::exchange(decisions.suppressed, 0);
         decisions.second_started = at;
         decisions.written = 0;
     }
-    budget.may_write =
-        must_write || decisions.written < decisions.max_lines_per_second;
-    if (budget.may_write)
+    admission.is_admitted =
+        is_unlimited || decisions.written < decisions.max_lines_per_second;
+    if (admission.is_admitted)
     {
         ++decisions.written;
     }
@@ -62,35 +64,36 @@
     {
         ++decisions.suppressed;
     }
-    return budget;
+    return admission;
 }
 
 } // namespace
 
 void log_decision(
-    decision_log& decisions, const json_log& log, const event& seen)
+    decision_log& decisions, const json_log& log, const event& what)
 {
-    if (seen.is_routine || !is_logged(seen.kind))
+    if (what.is_routine || !is_logged(what.kind))
     {
         return;
     }
-    const line_budget budget = take_line(decisions, !is_about_request(seen));
-    if (budget.suppressed > 0)
+    const line_admission admission =
+        admit_line(decisions, !is_about_request(what));
+    if (admission.suppressed > 0)
     {
         write_log(
             log, log_level::warning, "log-lines-left-out",
-            {{"count", budget.suppressed}});
+            {{"count", admission.suppressed}});
     }
-    if (!budget.may_write)
+    if (!admission.is_admitted)
     {
         return;
     }
     write_log(
-        log, log_level::info, name_of(seen.kind),
-        {{"request", seen.request_id},
-         {"trace", seen.trace == trace_id{} ? "" : to_string(seen.trace)},
-         {"peer", seen.peer == host_id::none ? "" : to_string(seen.peer)},
-         {"detail", seen.detail}});
+        log, log_level::info, name_of(what.kind),
+        {{"request", what.request_id},
+         {"trace", what.trace == trace_id{} ? "" : to_string(what.trace)},
+         {"peer", what.peer == host_id::none ? "" : to_string(what.peer)},
+         {"detail", what.detail}});
 }
 
 } // namespace cyclamenhold
--- a/src/adapters/decision_log.hpp
+++ b/src/adapters/decision_log.hpp
@@ -1,7 +1,7 @@
-// The log's lines about decisions: what happened to single requests, and what
-// the node has come to believe. At most so many a second; those beyond are
-// counted and the count is logged, so that a busy node neither waits for its
-// log nor hides that lines are missing.
+// Log lines about decisions: outcomes of single requests, and changes of the
+// node's view of the fleet. Lines about requests are limited per second. Lines
+// beyond the limit are counted and the count is logged, so that a busy node
+// does not block on its log and missing lines are visible.
 #pragma once
 
 #include "adapters/logging.hpp"
@@ -25,8 +25,9 @@
     std::uint64_t suppressed = 0;
 };
 
-// Writes the line of an event, unless it is of a kind that is not logged.
+// Logs an event, unless it is routine, of a kind that is not logged, or about a
+// request and beyond the limit.
 void log_decision(
-    decision_log& decisions, const json_log& log, const event& seen);
+    decision_log& decisions, const json_log& log, const event& what);
 
 } // namespace cyclamenhold
--- a/src/adapters/log_level.hpp
+++ b/src/adapters/log_level.hpp
@@ -1,4 +1,4 @@
-// How serious a line of the log is.
+// The severity of a log line, from lowest to highest.
 #pragma once
 
 #include "core/base/names.hpp"
--- a/src/adapters/logging.cpp
+++ b/src/adapters/logging.cpp
@@ -23,7 +23,8 @@
 
 constexpr std::string_view replacement_character = "\xef\xbf\xbd";
 
-// Bytes of the UTF-8 character at the start of `text`, 0 when it is not one.
+// Size in bytes of the UTF-8 character at the start of `text`, which is not
+// empty; 0 if it is malformed.
 std::size_t character_size(std::string_view text)
 {
     const auto byte = [&](std::size_t index)
@@ -102,7 +103,7 @@
     return log4cplus::ERROR_LOG_LEVEL;
 }
 
-// The message already holds the whole line.
+// Writes the message only, which is already the whole line.
 std::unique_ptr<log4cplus::Layout> make_layout()
 {
     return std::make_unique<log4cplus::PatternLayout>("%m%n");
@@ -124,7 +125,8 @@
     return appender;
 }
 
-// Each log has its own logger, so that two nodes in one process stay apart.
+// Returns a new logger for each log, so that nodes in one process have separate
+// logs.
 log4cplus::Logger make_logger()
 {
     static const log4cplus::Initializer initializer;
@@ -167,7 +169,7 @@
     const bool is_stream = file == "-" || file == "stdout";
     if (!is_stream && !std::ofstream(file, std::ios::app))
     {
-        return absl::NotFoundError(file + ": cannot be opened for the log");
+        return absl::NotFoundError(file + ": cannot be opened as the log file");
     }
     auto logger = make_logger();
     logger.addAppender(make_appender(file));
--- a/src/adapters/logging.hpp
+++ b/src/adapters/logging.hpp
@@ -1,4 +1,4 @@
-// The log: one JSON object a line.
+// The log of a node: one JSON object per line.
 #pragma once
 
 #include "adapters/log_level.hpp"
@@ -19,7 +19,7 @@
 using log_value =
     std::variant<std::string_view, std::int64_t, std::uint64_t, double, bool>;
 
-// A named value beside the message of a line.
+// A named value in addition to the message of a line.
 struct log_field
 {
     log_field(std::string_view field_name, std::string_view text)
@@ -55,27 +55,27 @@
     log_value value;
 };
 
-// One line without its line break. Text that is not UTF-8 has its stray bytes
-// replaced, so that a line is always JSON.
+// Formats one line, without the line break. Bytes that are not valid UTF-8 are
+// replaced by U+FFFD, so that a line is always valid JSON.
 [[nodiscard]] std::string format_log_line(
     std::uint64_t wall_ms, log_level level, std::string_view node,
     std::string_view message, std::initializer_list<log_field> fields);
 
-// An open log. Copies share it; a default one drops every line. May be used
-// from any thread.
+// A handle of an open log; copies write to the same log. A default-constructed
+// one drops every line. Thread-safe.
 struct json_log
 {
     struct sink;
     std::shared_ptr<const sink> out;
 };
 
-// Opens a log that appends to `file`, "-" for the standard error stream,
-// "stdout" for the standard output.
+// Opens a log that appends to `file`; "-" is the standard error stream,
+// "stdout" the standard output. Returns NotFound if the file cannot be opened.
 [[nodiscard]] absl::Status open_log(
     json_log& log, const std::string& node, log_level lowest,
     const std::string& file);
 
-// Writes a line when `level` is serious enough.
+// Writes a line if `level` is at least the log's lowest level.
 void write_log(
     const json_log& log, log_level level, std::string_view message,
     std::initializer_list<log_field> fields = {});
--- a/src/adapters/metrics.cpp
+++ b/src/adapters/metrics.cpp
@@ -14,21 +14,24 @@
 constexpr unsigned latency_bucket_count = 70;
 constexpr double shortest_latency_s = 10e-6;
 constexpr double longest_latency_s = 100.0;
-constexpr double nanoseconds_a_second = 1e9;
+constexpr double nanoseconds_per_second = 1e9;
 
 constexpr std::array<metric_description, counter_count> counter_table{
     {{"cyclamen_attempts_total", "Attempts sent to upstreams"},
      {"cyclamen_retries_total", "Attempts beyond the first of a call"},
      {"cyclamen_child_calls_total", "Calls made by the local upstream"},
-     {"cyclamen_rate_admitted_total", "Requests that took a rate token"},
-     {"cyclamen_rate_refused_total", "Requests that found no rate token"},
-     {"cyclamen_loans_granted_total", "Loans of rate granted to others"},
-     {"cyclamen_loans_returned_total", "Loans of rate handed back"},
-     {"cyclamen_claims_granted_total", "Claims on never-repeat requests"},
-     {"cyclamen_claims_refused_total", "Claims that were not granted"},
-     {"cyclamen_gate_started_total", "Requests started at the last gate"},
-     {"cyclamen_gate_refused_total", "Requests refused at the last gate"},
-     {"cyclamen_caller_connections_opened_total", "Callers' connections"},
+     {"cyclamen_rate_admitted_total", "Requests that received a rate token"},
+     {"cyclamen_rate_refused_total", "Requests refused without a rate token"},
+     {"cyclamen_loans_granted_total", "Rate loans granted to other hosts"},
+     {"cyclamen_loans_returned_total", "Rate loans returned"},
+     {"cyclamen_claims_granted_total",
+      "Claims granted for never-repeat requests"},
+     {"cyclamen_claims_refused_total",
+      "Claims on never-repeat requests refused"},
+     {"cyclamen_gate_started_total", "Requests started at the upstream gate"},
+     {"cyclamen_gate_refused_total", "Requests refused at the upstream gate"},
+     {"cyclamen_caller_connections_opened_total",
+      "Connections accepted from callers"},
      {"cyclamen_peer_links_opened_total", "Peer links authenticated"},
      {"cyclamen_peer_links_rejected_total", "Peer links rejected"},
      {"cyclamen_peer_received_bytes_total", "Bytes read from peer links"},
@@ -38,30 +41,35 @@
      {"cyclamen_datagram_received_bytes_total", "Bytes of datagrams received"},
      {"cyclamen_datagram_sent_bytes_total", "Bytes of datagrams sent"},
      {"cyclamen_bad_inputs_total", "Malformed messages that were dropped"},
-     {"cyclamen_events_overwritten_total", "Events lost from the ring"},
+     {"cyclamen_events_overwritten_total",
+      "Events overwritten in the event ring"},
      {"cyclamen_control_microseconds_total",
-      "Processor time of the control thread"}}};
+      "Processor time of the control thread in microseconds"}}};
 
 constexpr std::array<metric_description, gauge_count> gauge_table{
-    {{"cyclamen_requests_in_flight", "Callers' requests under way"},
-     {"cyclamen_gate_queue", "Requests waiting at the last gate"},
-     {"cyclamen_gate_limit", "Concurrency limit of the last gate"},
-     {"cyclamen_gate_in_flight", "Requests running behind the last gate"},
+    {{"cyclamen_requests_in_flight", "Callers' requests in flight"},
+     {"cyclamen_gate_queue", "Requests queued at the upstream gate"},
+     {"cyclamen_gate_limit", "Concurrency limit of the upstream gate"},
+     {"cyclamen_gate_in_flight",
+      "Requests admitted by the upstream gate and running"},
      {"cyclamen_caller_connections", "Open connections of callers"},
-     {"cyclamen_peers_connected", "Peer links that are up"},
-     {"cyclamen_members_alive", "Members believed to be alive"},
-     {"cyclamen_members_suspect", "Members under suspicion"},
-     {"cyclamen_upstreams_usable", "Upstreams that may be tried"},
+     {"cyclamen_peers_connected", "Established peer links"},
+     {"cyclamen_members_alive", "Members in the state alive"},
+     {"cyclamen_members_suspect", "Members in the state suspect"},
+     {"cyclamen_upstreams_usable", "Upstreams eligible for requests"},
      {"cyclamen_configuration_revision", "Configuration revision in force"},
-     {"cyclamen_platform_reachable", "1 while the platform answers"},
+     {"cyclamen_platform_reachable",
+      "1 while the platform responds, 0 otherwise"},
      {"cyclamen_resident_bytes", "Resident memory of the process"}}};
 
 constexpr std::array<metric_description, histogram_count> histogram_table{
-    {{"cyclamen_request_seconds", "From a request's header to its last byte"},
-     {"cyclamen_added_seconds", "Time of a call spent outside the upstream"},
-     {"cyclamen_gate_wait_seconds", "Time spent in the last gate's queue"},
+    {{"cyclamen_request_seconds",
+      "Time from a request's header to its last byte"},
+     {"cyclamen_added_seconds",
+      "Part of a call's time spent outside the upstream"},
+     {"cyclamen_gate_wait_seconds", "Time spent in the upstream gate's queue"},
      {"cyclamen_token_wait_seconds", "Time spent waiting for a rate token"},
-     {"cyclamen_claim_seconds", "Time from asking for a claim to its answer"},
+     {"cyclamen_claim_seconds", "Time from a claim request to its answer"},
      {"cyclamen_platform_seconds", "Time of calls to the platform"}}};
 
 template <class Id>
@@ -92,7 +100,7 @@
     text += '\n';
 }
 
-// One sample; `labels` is empty or stands in braces.
+// Writes one sample; `labels` is empty or includes the braces.
 void write_sample(
     std::string& text, std::string_view name, std::string_view labels,
     const std::string& value)
@@ -127,7 +135,8 @@
     write_header(text, what, "histogram");
     const std::string bucket_name = std::string(what.name) + "_bucket";
     const auto& axis = histogram.buckets.axis();
-    // Index -1 is below the first bound, and counts into each bucket.
+    // Index -1 is the underflow bin. Buckets are cumulative, so each contains
+    // it.
     std::uint64_t count = histogram.buckets.at(-1).value();
     for (int index = 0; index < axis.size(); ++index)
     {
@@ -139,7 +148,7 @@
     count += histogram.buckets.at(axis.size()).value();
     write_sample(text, bucket_name, "{le=\"+Inf\"}", std::to_string(count));
     const double sum =
-        static_cast<double>(histogram.sum_ns.load()) / nanoseconds_a_second;
+        static_cast<double>(histogram.sum_ns.load()) / nanoseconds_per_second;
     write_sample(text, std::string(what.name) + "_sum", "", number_text(sum));
     write_sample(
         text, std::string(what.name) + "_count", "", std::to_string(count));
--- a/src/adapters/metrics.hpp
+++ b/src/adapters/metrics.hpp
@@ -1,5 +1,5 @@
 // The metrics of a node: a fixed set of counters, gauges and histograms, in the
-// Prometheus text format. Counting is wait-free and may be done by any thread.
+// Prometheus text format. Updates are wait-free and thread-safe.
 #pragma once
 
 #include "core/base/names.hpp"
@@ -18,7 +18,7 @@
 namespace cyclamenhold
 {
 
-// Values that only grow. Those with labels have functions of their own below.
+// Monotonic counters. Labelled counters have separate functions below.
 enum class counter_id : std::uint8_t
 {
     attempts,
@@ -48,7 +48,7 @@
 
 constexpr std::size_t counter_count = 23;
 
-// Values that go up and down.
+// Gauges: values that can increase and decrease.
 enum class gauge_id : std::uint8_t
 {
     requests_in_flight,
@@ -67,7 +67,7 @@
 
 constexpr std::size_t gauge_count = 12;
 
-// Distributions of times.
+// Histograms of durations.
 enum class histogram_id : std::uint8_t
 {
     request_latency,
@@ -80,7 +80,7 @@
 
 constexpr std::size_t histogram_count = 6;
 
-// How a metric appears in the text format.
+// Name and help text of a metric in the text format.
 struct metric_description
 {
     std::string_view name;
@@ -91,7 +91,7 @@
 [[nodiscard]] const metric_description& description_of(gauge_id id);
 [[nodiscard]] const metric_description& description_of(histogram_id id);
 
-// From 10 us to 100 s, ten buckets a decade.
+// Logarithmic, from 10 us to 100 s with ten buckets per decade.
 using latency_axis = boost::histogram::axis::regular<
     double, boost::histogram::axis::transform::log>;
 using latency_storage = boost::histogram::dense_storage<
@@ -137,7 +137,8 @@
 void change(metrics& to, gauge_id id, std::int64_t difference);
 void observe(metrics& to, histogram_id id, duration value);
 
-// A request of a caller was answered; refusal::none for an upstream's reply.
+// Counts an answered request of a caller; refusal::none for an upstream's
+// reply.
 void count_request(metrics& to, refusal reason, outcome result);
 void count_refused_class(metrics& to, priority_class priority);
 void count_platform_call(
@@ -145,15 +146,16 @@
 
 [[nodiscard]] std::uint64_t value_of(const metrics& of, counter_id id);
 
-// The value that a share of the observations does not exceed, to the upper
-// bound of its bucket; zero without any.
+// The quantile at `share` (0 to 1) of the observations, rounded up to the upper
+// bound of its bucket; zero without observations.
 [[nodiscard]] duration
 quantile(const metrics& of, histogram_id id, double share);
 
-// All metrics, in the Prometheus text format.
+// Formats all metrics in the Prometheus text format.
 [[nodiscard]] std::string to_prometheus_text(const metrics& from);
 
-// Sets the gauge of this process's resident memory from /proc/self/statm.
+// Sets the gauge of this process's resident memory from /proc/self/statm;
+// leaves it unchanged if the file cannot be read.
 void update_resident_bytes(metrics& to);
 
 } // namespace cyclamenhold
--- a/src/adapters/precompiled.hpp
+++ b/src/adapters/precompiled.hpp
@@ -1,4 +1,4 @@
-// The heavy headers of the adapters, compiled once.
+// Precompiled header: library headers that most adapters include.
 #pragma once
 
 #include <boost/asio.hpp>
--- a/src/adapters/shared_event_ring.cpp
+++ b/src/adapters/shared_event_ring.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Replaces the clock's time by advance(time) and returns the new one.
+// Atomically replaces the clock's time by advance(time); returns the new time.
 template <class Advance>
 hybrid_time advance_clock(std::atomic<hybrid_time>& clock, Advance advance)
 {
@@ -37,7 +37,7 @@
     event_record record{hybrid_time::none, host_, what};
     const std::lock_guard lock(mutex_);
     // Stamped under the lock, so that the ring is in the order of time and a
-    // query need not sort it while request threads wait.
+    // query does not sort it while request threads wait for the lock.
     record.time = stamp_send();
     add_event(ring_, std::move(record));
 }
--- a/src/adapters/shared_event_ring.hpp
+++ b/src/adapters/shared_event_ring.hpp
@@ -1,4 +1,4 @@
-// The event ring and the hybrid clock of a running node, for all its threads.
+// The event ring and the hybrid logical clock that all threads of a node share.
 #pragma once
 
 #include "core/events/event_json.hpp"
@@ -12,22 +12,25 @@
 namespace cyclamenhold
 {
 
-// All members may be called from any thread.
+// An event ring with its clock. Thread-safe.
 class shared_event_ring
 {
 public:
     shared_event_ring(host_id host, std::string name, std::size_t capacity);
 
-    // Stamps the event with this host's clock and keeps it.
+    // Adds an event with a new time stamp of this host's clock. Overwrites the
+    // oldest one if the ring is full.
     void record(const event& what);
 
-    // The clock for a message that leaves this host.
+    // Advances the clock and returns the time stamp of an outgoing message.
     [[nodiscard]] hybrid_time stamp_send();
 
-    // Follows the clock of a message that arrived.
+    // Advances the clock beyond the time stamp of a received message.
     void record_receive(hybrid_time remote);
 
+    // The events that match a query.
     [[nodiscard]] event_page page(const event_query& query) const;
+    // Number of events that were overwritten before.
     [[nodiscard]] std::uint64_t overwritten() const;
 
 private:
