--- a/tests/adapters/decision_log_test.cpp
+++ b/tests/adapters/decision_log_test.cpp
@@ -11,10 +11,10 @@
 namespace
 {
 
-// A log in a file of its own, read back as JSON.
-struct written_decisions
+// A decision log that writes to a new file; lines() parses the file.
+struct decision_log_file
 {
-    explicit written_decisions(const std::string& name)
+    explicit decision_log_file(const std::string& name)
         : path(testing::TempDir() + name)
     {
         std::remove(path.c_str());
@@ -39,17 +39,17 @@
 
 event refusal_of(std::string request)
 {
-    event seen;
-    seen.kind = event_kind::request_refused;
-    seen.trace = {1, 2};
-    seen.request_id = std::move(request);
-    seen.detail = "overloaded, not-run; route lookup, 0.50 let in";
-    return seen;
+    event refused;
+    refused.kind = event_kind::request_refused;
+    refused.trace = {1, 2};
+    refused.request_id = std::move(request);
+    refused.detail = "overloaded, not-run; route lookup, 0.50 let in";
+    return refused;
 }
 
-TEST(decision_log, a_refusal_can_be_found_by_its_request)
+TEST(decision_log, refusal_line_has_request_id)
 {
-    written_decisions written("cyclamen_decision_log_refusal");
+    decision_log_file written("cyclamen_decision_log_refusal");
     log_decision(written.decisions, written.log, refusal_of("ab12"));
     const auto lines = written.lines();
     ASSERT_EQ(lines.size(), 1);
@@ -60,9 +60,9 @@
         "overloaded, not-run; route lookup, 0.50 let in");
 }
 
-TEST(decision_log, many_refusals_at_once)
+TEST(decision_log, limits_request_lines_per_second)
 {
-    written_decisions written("cyclamen_decision_log_many");
+    decision_log_file written("cyclamen_decision_log_many");
     written.decisions.max_lines_per_second = 10;
     for (int i = 0; i < 100; ++i)
     {
@@ -70,20 +70,20 @@
             written.decisions, written.log, refusal_of(std::to_string(i)));
     }
     {
-        SCOPED_TRACE("only so many lines are written in a second");
-        // A second may end while this runs.
+        SCOPED_TRACE("lines per second are limited");
+        // Up to 21, since a second may end during the loop.
         EXPECT_GE(written.lines().size(), 10);
         EXPECT_LE(written.lines().size(), 21);
     }
     {
-        SCOPED_TRACE("what a node believes is written all the same");
-        event lost;
-        lost.kind = event_kind::platform_unavailable;
-        log_decision(written.decisions, written.log, lost);
+        SCOPED_TRACE("events that are not about requests are not limited");
+        event unavailable;
+        unavailable.kind = event_kind::platform_unavailable;
+        log_decision(written.decisions, written.log, unavailable);
         EXPECT_EQ(written.lines().back().at("message"), "platform-unavailable");
     }
     {
-        SCOPED_TRACE("the next second tells how many were left out");
+        SCOPED_TRACE("the next second logs the number of suppressed lines");
         written.decisions.second_started -= 1s;
         log_decision(written.decisions, written.log, refusal_of("later"));
         const auto lines = written.lines();
@@ -94,9 +94,9 @@
     }
 }
 
-TEST(decision_log, steps_that_went_well)
+TEST(decision_log, routine_events_are_not_logged)
 {
-    written_decisions written("cyclamen_decision_log_routine");
+    decision_log_file written("cyclamen_decision_log_routine");
     event ended = refusal_of("cd34");
     ended.kind = event_kind::attempt_ended;
     ended.is_routine = true;
--- a/tests/adapters/event_ring_test.cpp
+++ b/tests/adapters/event_ring_test.cpp
@@ -11,7 +11,10 @@
 namespace
 {
 
-TEST(shared_event_ring, threads_record_in_the_order_of_time)
+// Guards against time stamps that are taken outside the ring's lock: threads
+// would then add events out of the order of time, and queries assume that
+// order.
+TEST(shared_event_ring, concurrent_records_are_in_time_order)
 {
     constexpr std::size_t thread_count = 4;
     constexpr std::size_t event_count = 5'000;
@@ -35,19 +38,20 @@
     query.limit = thread_count * event_count;
     const event_page page = ring.page(query);
     {
-        SCOPED_TRACE("none is lost and no two have the same time");
+        SCOPED_TRACE("no event is lost and all time stamps differ");
         ASSERT_EQ(page.records.size(), thread_count * event_count);
-        const auto later =
+        const auto is_not_earlier =
             [](const event_record& left, const event_record& right)
         {
             return left.time >= right.time;
         };
         EXPECT_EQ(
-            std::ranges::adjacent_find(page.records, later),
+            std::ranges::adjacent_find(page.records, is_not_earlier),
             page.records.end());
     }
     {
-        SCOPED_TRACE("a message from a host ahead moves the clock on");
+        SCOPED_TRACE(
+            "a message from a host with a later clock advances this clock");
         const hybrid_time ahead =
             make_hybrid_time(wall_ms_of(page.records.back().time) + 5'000);
         ring.record_receive(ahead);
--- a/tests/adapters/fake_operators_api.hpp
+++ b/tests/adapters/fake_operators_api.hpp
@@ -1,5 +1,5 @@
-// A stand-in for the operators' API of a node: answers from a function and
-// remembers what it was asked.
+// A fake of a node's operators' API. Replies come from a function; requests are
+// recorded.
 #pragma once
 
 #include "core/base/ip_endpoint.hpp"
@@ -29,7 +29,7 @@
 {
     unsigned status = 200;
     std::string body;
-    // Close the connection instead of answering.
+    // Closes the connection without a reply.
     bool drop = false;
 };
 
@@ -91,14 +91,14 @@
         http::request<http::string_body> request;
         co_await http::async_read(
             connection, buffer, request, boost::asio::use_awaitable);
-        const fake_request asked{
+        const fake_request received{
             std::string(request.method_string()), std::string(request.target()),
             std::string(request[http::field::authorization]), request.body()};
         {
             const std::lock_guard lock(mutex_);
-            requests_.push_back(asked);
+            requests_.push_back(received);
         }
-        const auto [status, body, drop] = answer_(asked);
+        const auto [status, body, drop] = answer_(received);
         if (drop)
         {
             co_return;
--- a/tests/adapters/logging_test.cpp
+++ b/tests/adapters/logging_test.cpp
@@ -11,10 +11,11 @@
 namespace
 {
 
-TEST(logging, one_line)
+TEST(logging, line_format)
 {
     {
-        SCOPED_TRACE("has the time, level, node, message and typed fields");
+        SCOPED_TRACE(
+            "a line has the time, level, node, message and typed fields");
         EXPECT_EQ(
             format_log_line(
                 1'700'000'000'123, log_level::warning, "brno-1", "link lost",
@@ -29,7 +30,8 @@
             R"("bytes":9223372036854775808,"share":5E-1,"planned":false})");
     }
     {
-        SCOPED_TRACE("stays one line of JSON whatever the text holds");
+        SCOPED_TRACE(
+            "any text, also malformed UTF-8, gives one line of valid JSON");
         const std::string text =
             "a\"b\\c\n\t\x01 \xc3\xa9 \xff\xc3 \xed\xa0\x80";
         const std::string line =
@@ -43,21 +45,22 @@
     }
 }
 
-TEST(logging, a_file)
+TEST(logging, file_output)
 {
     const std::string path = testing::TempDir() + "cyclamen_logging_test";
     std::remove(path.c_str());
     json_log log;
     {
-        SCOPED_TRACE("a log that is not open drops its lines");
-        write_log(log, log_level::error, "nobody hears this");
+        SCOPED_TRACE("a default-constructed log drops its lines");
+        write_log(log, log_level::error, "dropped");
     }
     ASSERT_TRUE(open_log(log, "n1", log_level::info, path).ok());
     write_log(log, log_level::debug, "too detailed");
     write_log(log, log_level::info, "first");
     write_log(log, log_level::error, "second", {{"code", 7}});
     {
-        SCOPED_TRACE("keeps the lines that are serious enough, in order");
+        SCOPED_TRACE(
+            "lines at or above the lowest level are written, in order");
         std::ifstream file(path);
         std::vector<std::string> messages;
         for (std::string line; std::getline(file, line);)
@@ -68,7 +71,7 @@
         EXPECT_EQ(messages, (std::vector<std::string>{"first", "second"}));
     }
     {
-        SCOPED_TRACE("one that cannot be opened is an error");
+        SCOPED_TRACE("a file that cannot be opened is an error");
         EXPECT_FALSE(
             open_log(log, "n1", log_level::info, "/nowhere/at/all").ok());
     }
--- a/tests/adapters/metrics_test.cpp
+++ b/tests/adapters/metrics_test.cpp
@@ -14,7 +14,7 @@
 using testing::HasSubstr;
 using testing::Not;
 
-TEST(metrics, counting)
+TEST(metrics, counters_and_gauges)
 {
     metrics counted;
     count_request(counted, refusal::none, outcome::ran);
@@ -42,13 +42,14 @@
                             ",status=\"unavailable\"} 1\n"));
     }
     {
-        SCOPED_TRACE("plain counters and gauges");
+        SCOPED_TRACE("unlabelled counters and gauges");
         EXPECT_THAT(text, HasSubstr("\ncyclamen_retries_total 3\n"));
         EXPECT_THAT(text, HasSubstr("\ncyclamen_gate_limit 38\n"));
         EXPECT_THAT(text, HasSubstr("# TYPE cyclamen_gate_limit gauge\n"));
     }
     {
-        SCOPED_TRACE("every entry of the tables has a name of its own");
+        SCOPED_TRACE(
+            "every metric has a unique name, and each table matches its enum");
         for (std::size_t index = 0; index < counter_count; ++index)
         {
             const auto& [name, help] =
@@ -69,7 +70,7 @@
     }
 }
 
-TEST(metrics, latencies)
+TEST(metrics, latency_histograms)
 {
     metrics counted;
     {
@@ -86,14 +87,14 @@
     observe(counted, histogram_id::added_latency, -1ms);
     observe(counted, histogram_id::added_latency, 1000s);
     {
-        SCOPED_TRACE("quantiles are within one bucket above");
+        SCOPED_TRACE("quantiles are rounded up by at most one bucket");
         const auto median = quantile(counted, histogram_id::added_latency, 0.5);
         EXPECT_GE(median, 300us);
         EXPECT_LE(median, 400us);
         EXPECT_GE(quantile(counted, histogram_id::added_latency, 0.99), 50ms);
     }
     {
-        SCOPED_TRACE("the text has cumulative buckets that end at the count");
+        SCOPED_TRACE("buckets in the text are cumulative up to the count");
         const std::string text = to_prometheus_text(counted);
         EXPECT_THAT(
             text,
@@ -104,7 +105,9 @@
     }
 }
 
-TEST(metrics, threads_lose_no_observation)
+// Guards against histogram accumulators that are not atomic: concurrent updates
+// would be lost.
+TEST(metrics, concurrent_updates_are_not_lost)
 {
     metrics counted;
     constexpr int thread_count = 4;
@@ -130,7 +133,7 @@
         HasSubstr("\ncyclamen_request_seconds_count 40000\n"));
 }
 
-TEST(metrics, memory)
+TEST(metrics, resident_bytes_is_set)
 {
     metrics counted;
     update_resident_bytes(counted);
--- a/tests/adapters/settings_test.cpp
+++ b/tests/adapters/settings_test.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-const std::string whole_settings = R"({
+const std::string complete_settings = R"({
   // The node on the first host.
   "name": "brno-1", "data_centre": "brno", "region": "moravia",
   "listen": {
@@ -28,7 +28,7 @@
   "log": {"level": "debug", "file": "node.log"}
 })";
 
-// Places of the findings in a text of settings.
+// Places of the findings for a settings text.
 std::vector<std::string> places_in(const std::string& text)
 {
     std::vector<std::string> places;
@@ -47,13 +47,13 @@
     return text.replace(position, from.size(), to);
 }
 
-TEST(settings, reading)
+TEST(settings, complete_file_is_parsed)
 {
-    SCOPED_TRACE("a whole file with comments");
-    const auto [settings, found] = parse_settings(whole_settings);
+    SCOPED_TRACE("a complete file with comments");
+    const auto [settings, found] = parse_settings(complete_settings);
     ASSERT_TRUE(found.empty()) << to_string(found);
     {
-        SCOPED_TRACE("gives what it says");
+        SCOPED_TRACE("values in the file are set");
         EXPECT_EQ(settings.name, "brno-1");
         EXPECT_EQ(to_string(settings.listen.callers), "0.0.0.0:7000");
         EXPECT_EQ(
@@ -64,7 +64,7 @@
         EXPECT_EQ(to_string(settings.seeds[0]), "10.0.0.2:7200");
     }
     {
-        SCOPED_TRACE("and defaults for the rest");
+        SCOPED_TRACE("other settings have their defaults");
         EXPECT_EQ(settings.request_threads, 2U);
         EXPECT_EQ(settings.limits.max_header_bytes, 16U * 1024);
         EXPECT_EQ(
@@ -73,10 +73,10 @@
     }
 }
 
-TEST(settings, findings_come_together)
+TEST(settings, all_findings_are_reported)
 {
     {
-        SCOPED_TRACE("an empty object lacks all that is required");
+        SCOPED_TRACE("an empty object lacks every required setting");
         EXPECT_THAT(
             places_in("{}"),
             testing::UnorderedElementsAre(
@@ -86,8 +86,8 @@
                 "/operator_credential_file"));
     }
     {
-        SCOPED_TRACE("several mistakes are reported at once, by pointer");
-        std::string text = replaced(whole_settings, "\"brno-1\"", "7");
+        SCOPED_TRACE("several errors are reported at once, by JSON pointer");
+        std::string text = replaced(complete_settings, "\"brno-1\"", "7");
         text = replaced(text, "127.0.0.1:7100", "10.0.0.1:7100");
         text = replaced(text, "10.0.0.2:7200", "ten:7200");
         text = replaced(text, "2500", "-1");
@@ -101,15 +101,15 @@
     }
 }
 
-TEST(settings, values_out_of_range)
+TEST(settings, invalid_values)
 {
-    struct wrong_value
+    struct invalid_value
     {
         const char* from;
         const char* to;
         const char* place;
     };
-    for (const auto& [from, to, place] : std::vector<wrong_value>{
+    for (const auto& [from, to, place] : std::vector<invalid_value>{
              {"2500", "9", "/limits/header_timeout_ms"},
              {"2500", "2.5", "/limits/header_timeout_ms"},
              {"2500", "\"2500\"", "/limits/header_timeout_ms"},
@@ -132,19 +132,20 @@
     {
         SCOPED_TRACE(to);
         EXPECT_THAT(
-            places_in(replaced(whole_settings, from, to)),
+            places_in(replaced(complete_settings, from, to)),
             testing::ElementsAre(place));
     }
 }
 
-TEST(settings, numbers_with_fractions)
+TEST(settings, fractions_and_choices)
 {
     const auto with = [](const std::string& more)
     {
-        return replaced(whole_settings, "\"limits\"", more + ", \"limits\"");
+        return replaced(complete_settings, "\"limits\"", more + ", \"limits\"");
     };
     {
-        SCOPED_TRACE("are read where the unit is a second or a count");
+        SCOPED_TRACE(
+            "fractions are accepted for settings in seconds or requests");
         const auto [settings, found] = parse_settings(
             with(R"("rates":{"window_s":2.5},"retries":{"fleet_slack":47})"));
         ASSERT_TRUE(found.empty()) << to_string(found);
@@ -152,7 +153,7 @@
         EXPECT_EQ(settings.retries.fleet_slack, 47.0);
     }
     {
-        SCOPED_TRACE("and refused out of range or as text");
+        SCOPED_TRACE("numbers out of range or in strings are rejected");
         EXPECT_EQ(
             places_in(with(
                 R"("rates":{"window_s":-1},"retries":{"fleet_slack":"x"})")),
@@ -160,17 +161,17 @@
                 "/rates/window_s", "/retries/fleet_slack"}));
     }
     {
-        SCOPED_TRACE("choices are named");
+        SCOPED_TRACE("unknown choices and wrong item types are rejected");
         EXPECT_EQ(
             places_in(with(R"("interface":"odd","data_centres":[5])")),
             (std::vector<std::string>{"/interface", "/data_centres/0"}));
     }
 }
 
-TEST(settings, text_that_is_not_json)
+TEST(settings, malformed_json)
 {
     {
-        SCOPED_TRACE("is placed by line and column");
+        SCOPED_TRACE("a syntax error has a line and a column as its place");
         EXPECT_THAT(
             places_in("{\n  \"name\": nil\n}"),
             testing::ElementsAre("line 2, column 11"));
@@ -181,17 +182,18 @@
         EXPECT_EQ(places_in(text).size(), 1U);
     }
     {
-        SCOPED_TRACE("and another kind of value has the root as its place");
+        SCOPED_TRACE(
+            "a root that is not an object has the empty pointer as its place");
         EXPECT_THAT(places_in("[]"), testing::ElementsAre(""));
     }
 }
 
-TEST(settings, secrets)
+TEST(settings, secrets_are_resolved)
 {
     const std::string path = testing::TempDir() + "cyclamen_secret_test";
     findings found;
     {
-        SCOPED_TRACE("come from a file, without the line's end");
+        SCOPED_TRACE("read from a file, without the trailing line break");
         std::ofstream(path) << "0123456789abcdef\n";
         EXPECT_EQ(
             resolve_secret("", path, "/fleet_secret", found),
@@ -199,14 +201,15 @@
         EXPECT_TRUE(found.empty());
     }
     {
-        SCOPED_TRACE("or directly");
+        SCOPED_TRACE("given directly");
         EXPECT_EQ(
             resolve_secret("abcdef0123456789", "", "/fleet_secret", found),
             "abcdef0123456789");
         EXPECT_TRUE(found.empty());
     }
     {
-        SCOPED_TRACE("a short or missing one is a finding");
+        SCOPED_TRACE(
+            "a secret that is too short or a missing file is a finding");
         std::ofstream(path) << "short";
         EXPECT_EQ(resolve_secret("", path, "/fleet_secret", found), "");
         std::remove(path.c_str());
