--- a/src/adapters/metrics.cpp
+++ b/src/adapters/metrics.cpp
@@ -154,7 +154,7 @@
         text, std::string(what.name) + "_count", "", std::to_string(count));
 }
 
-void write_requests(std::string& text, const metrics& from)
+void write_requests(std::string& text, const metrics& source)
 {
     constexpr metric_description what{
         "cyclamen_requests_total",
@@ -165,7 +165,7 @@
         for (const auto& [result, result_name] : enum_names<outcome>::table)
         {
             const auto count =
-                from.requests[index_of(reason)][index_of(result)].load();
+                source.requests[index_of(reason)][index_of(result)].load();
             if (count > 0)
             {
                 write_sample(
@@ -177,7 +177,7 @@
     }
 }
 
-void write_refused_classes(std::string& text, const metrics& from)
+void write_refused_classes(std::string& text, const metrics& source)
 {
     constexpr metric_description what{
         "cyclamen_refused_total", "Refused requests by priority class"};
@@ -186,11 +186,11 @@
     {
         write_sample(
             text, what.name, "{class=\"" + std::string(name) + "\"}",
-            std::to_string(from.refused_by_class[index_of(priority)].load()));
+            std::to_string(source.refused_by_class[index_of(priority)].load()));
     }
 }
 
-void write_platform_calls(std::string& text, const metrics& from)
+void write_platform_calls(std::string& text, const metrics& source)
 {
     constexpr metric_description what{
         "cyclamen_platform_calls_total",
@@ -203,7 +203,7 @@
              enum_names<platform_status>::table)
         {
             const auto count =
-                from.platform_calls[index_of(operation)][index_of(status)]
+                source.platform_calls[index_of(operation)][index_of(status)]
                     .load();
             if (count > 0)
             {
@@ -242,25 +242,26 @@
     return histogram_table[index_of(id)];
 }
 
-void add(metrics& to, counter_id id, std::uint64_t amount)
+void add(metrics& target, counter_id id, std::uint64_t amount)
 {
-    to.counters[index_of(id)].fetch_add(amount, std::memory_order_relaxed);
+    target.counters[index_of(id)].fetch_add(amount, std::memory_order_relaxed);
 }
 
-void set(metrics& to, gauge_id id, std::int64_t value)
+void set(metrics& target, gauge_id id, std::int64_t value)
 {
-    to.gauges[index_of(id)].store(value, std::memory_order_relaxed);
+    target.gauges[index_of(id)].store(value, std::memory_order_relaxed);
 }
 
-void change(metrics& to, gauge_id id, std::int64_t difference)
+void change(metrics& target, gauge_id id, std::int64_t difference)
 {
-    to.gauges[index_of(id)].fetch_add(difference, std::memory_order_relaxed);
+    target.gauges[index_of(id)].fetch_add(
+        difference, std::memory_order_relaxed);
 }
 
-void observe(metrics& to, histogram_id id, duration value)
+void observe(metrics& target, histogram_id id, duration value)
 {
     const duration positive = std::max(value, duration::zero());
-    auto& [buckets, sum_ns] = to.histograms[index_of(id)];
+    auto& [buckets, sum_ns] = target.histograms[index_of(id)];
     buckets(to_seconds(positive));
     const auto nanoseconds =
         std::chrono::duration_cast<std::chrono::nanoseconds>(positive).count();
@@ -268,33 +269,33 @@
         static_cast<std::uint64_t>(nanoseconds), std::memory_order_relaxed);
 }
 
-void count_request(metrics& to, refusal reason, outcome result)
+void count_request(metrics& target, refusal reason, outcome result)
 {
-    to.requests[index_of(reason)][index_of(result)].fetch_add(
+    target.requests[index_of(reason)][index_of(result)].fetch_add(
         1, std::memory_order_relaxed);
 }
 
-void count_refused_class(metrics& to, priority_class priority)
+void count_refused_class(metrics& target, priority_class priority)
 {
-    to.refused_by_class[index_of(priority)].fetch_add(
+    target.refused_by_class[index_of(priority)].fetch_add(
         1, std::memory_order_relaxed);
 }
 
 void count_platform_call(
-    metrics& to, platform_operation operation, platform_status status)
+    metrics& target, platform_operation operation, platform_status status)
 {
-    to.platform_calls[index_of(operation)][index_of(status)].fetch_add(
+    target.platform_calls[index_of(operation)][index_of(status)].fetch_add(
         1, std::memory_order_relaxed);
 }
 
-std::uint64_t value_of(const metrics& of, counter_id id)
+std::uint64_t value_of(const metrics& source, counter_id id)
 {
-    return of.counters[index_of(id)].load(std::memory_order_relaxed);
+    return source.counters[index_of(id)].load(std::memory_order_relaxed);
 }
 
-duration quantile(const metrics& of, histogram_id id, double share)
+duration quantile(const metrics& source, histogram_id id, double share)
 {
-    const auto& buckets = of.histograms[index_of(id)].buckets;
+    const auto& buckets = source.histograms[index_of(id)].buckets;
     const auto& axis = buckets.axis();
     std::uint64_t total = 0;
     for (int index = -1; index <= axis.size(); ++index)
@@ -317,41 +318,41 @@
     return from_seconds(bound);
 }
 
-std::string to_prometheus_text(const metrics& from)
+std::string to_prometheus_text(const metrics& source)
 {
     std::string text;
-    write_requests(text, from);
-    write_refused_classes(text, from);
-    write_platform_calls(text, from);
+    write_requests(text, source);
+    write_refused_classes(text, source);
+    write_platform_calls(text, source);
     for (std::size_t index = 0; index < counter_count; ++index)
     {
         const metric_description& what = counter_table[index];
         write_header(text, what, "counter");
         write_sample(
-            text, what.name, "", std::to_string(from.counters[index].load()));
+            text, what.name, "", std::to_string(source.counters[index].load()));
     }
     for (std::size_t index = 0; index < gauge_count; ++index)
     {
         const metric_description& what = gauge_table[index];
         write_header(text, what, "gauge");
         write_sample(
-            text, what.name, "", std::to_string(from.gauges[index].load()));
+            text, what.name, "", std::to_string(source.gauges[index].load()));
     }
     for (std::size_t index = 0; index < histogram_count; ++index)
     {
-        write_histogram(text, histogram_table[index], from.histograms[index]);
+        write_histogram(text, histogram_table[index], source.histograms[index]);
     }
     return text;
 }
 
-void update_resident_bytes(metrics& to)
+void update_resident_bytes(metrics& target)
 {
     std::ifstream file("/proc/self/statm");
     std::int64_t total_pages = 0;
     std::int64_t resident_pages = 0;
     if (file >> total_pages >> resident_pages)
     {
-        set(to, gauge_id::resident_bytes,
+        set(target, gauge_id::resident_bytes,
             resident_pages * sysconf(_SC_PAGESIZE));
     }
 }
--- a/src/adapters/metrics.hpp
+++ b/src/adapters/metrics.hpp
@@ -132,30 +132,30 @@
         platform_calls{};
 };
 
-void add(metrics& to, counter_id id, std::uint64_t amount = 1);
-void set(metrics& to, gauge_id id, std::int64_t value);
-void change(metrics& to, gauge_id id, std::int64_t difference);
-void observe(metrics& to, histogram_id id, duration value);
+void add(metrics& target, counter_id id, std::uint64_t amount = 1);
+void set(metrics& target, gauge_id id, std::int64_t value);
+void change(metrics& target, gauge_id id, std::int64_t difference);
+void observe(metrics& target, histogram_id id, duration value);
 
 // Counts an answered request of a caller; refusal::none for an upstream's
 // reply.
-void count_request(metrics& to, refusal reason, outcome result);
-void count_refused_class(metrics& to, priority_class priority);
+void count_request(metrics& target, refusal reason, outcome result);
+void count_refused_class(metrics& target, priority_class priority);
 void count_platform_call(
-    metrics& to, platform_operation operation, platform_status status);
+    metrics& target, platform_operation operation, platform_status status);
 
-[[nodiscard]] std::uint64_t value_of(const metrics& of, counter_id id);
+[[nodiscard]] std::uint64_t value_of(const metrics& source, counter_id id);
 
 // The quantile at `share` (0 to 1) of the observations, rounded up to the upper
-// bound of its bucket; zero without observations.
+// bound of its bucket and at most 100 s; zero without observations.
 [[nodiscard]] duration
-quantile(const metrics& of, histogram_id id, double share);
+quantile(const metrics& source, histogram_id id, double share);
 
 // Formats all metrics in the Prometheus text format.
-[[nodiscard]] std::string to_prometheus_text(const metrics& from);
+[[nodiscard]] std::string to_prometheus_text(const metrics& source);
 
 // Sets the gauge of this process's resident memory from /proc/self/statm;
 // leaves it unchanged if the file cannot be read.
-void update_resident_bytes(metrics& to);
+void update_resident_bytes(metrics& target);
 
 } // namespace cyclamenhold
--- a/src/adapters/operators_port.cpp
+++ b/src/adapters/operators_port.cpp
@@ -55,8 +55,8 @@
         const bool ready = api.ready && api.ready();
         co_return operator_reply{ready ? 200U : 503U, "text/plain", {}};
     }
-    const bool is_open = is_get && path == "/metrics" && api.has_open_metrics;
-    if (!is_open && !is_credential(bearer_of(request), api.credential))
+    const bool is_public = is_get && path == "/metrics" && api.has_open_metrics;
+    if (!is_public && !is_credential(bearer_of(request), api.credential))
     {
         co_return operator_reply{
             401, "application/json",
--- a/src/adapters/secrets.hpp
+++ b/src/adapters/secrets.hpp
@@ -12,8 +12,7 @@
 // without trailing white space. Relative paths are resolved from the working
 // directory. If the file cannot be read or the secret is shorter than 16
 // characters, adds a finding and returns an empty string. The finding's place
-// is `place`, with
-// "_file" appended if the secret comes from the file.
+// is `place`, with "_file" appended if the secret comes from the file.
 [[nodiscard]] std::string resolve_secret(
     const std::string& direct, const std::string& file,
     const std::string& place, findings& found);
--- a/src/adapters/settings.hpp
+++ b/src/adapters/settings.hpp
@@ -39,7 +39,8 @@
 {
     // HTTP/1.1 for callers.
     ip_endpoint callers;
-    // HTTP/1.1 for the upstream on this host; a loopback address.
+    // HTTP/1.1 for the upstream on this host; must be a loopback address with
+    // interface_kind::cyclamen.
     ip_endpoint upstream;
     // Other nodes: TCP and UDP at the same port.
     ip_endpoint peers;
@@ -95,8 +96,7 @@
 struct retry_settings
 {
     // Retries that the whole fleet may save up for one service, beyond a tenth
-    // of the requests for it; zero for no
-    // bound.
+    // of the requests for it; zero for no bound.
     double fleet_slack = 0.0;
 };
 
--- a/src/adapters/shared_event_ring.hpp
+++ b/src/adapters/shared_event_ring.hpp
@@ -25,12 +25,13 @@
     // Advances the clock and returns the time stamp of an outgoing message.
     [[nodiscard]] hybrid_time stamp_send();
 
-    // Advances the clock beyond the time stamp of a received message.
+    // Advances the clock for a received message with the time stamp `remote`;
+    // see receive_hybrid_time.
     void record_receive(hybrid_time remote);
 
     // The events that match a query.
     [[nodiscard]] event_page page(const event_query& query) const;
-    // Number of events that were overwritten before.
+    // Number of events that have been overwritten since the start.
     [[nodiscard]] std::uint64_t overwritten() const;
 
 private:
