--- a/src/adapters/metrics.cpp
+++ b/src/adapters/metrics.cpp
@@ -14,21 +14,24 @@
 constexpr unsigned latency_bucket_count = 70;
 constexpr double shortest_latency_s = 10e-6;
 constexpr double longest_latency_s = 100.0;
-constexpr double nanoseconds_a_second = 1e9;
+constexpr double nanoseconds_per_second = 1e9;
 
 constexpr std::array<metric_description, counter_count> counter_table{
     {{"cyclamen_attempts_total", "Attempts sent to upstreams"},
      {"cyclamen_retries_total", "Attempts beyond the first of a call"},
      {"cyclamen_child_calls_total", "Calls made by the local upstream"},
-     {"cyclamen_rate_admitted_total", "Requests that took a rate token"},
-     {"cyclamen_rate_refused_total", "Requests that found no rate token"},
-     {"cyclamen_loans_granted_total", "Loans of rate granted to others"},
-     {"cyclamen_loans_returned_total", "Loans of rate handed back"},
-     {"cyclamen_claims_granted_total", "Claims on never-repeat requests"},
-     {"cyclamen_claims_refused_total", "Claims that were not granted"},
-     {"cyclamen_gate_started_total", "Requests started at the last gate"},
-     {"cyclamen_gate_refused_total", "Requests refused at the last gate"},
-     {"cyclamen_caller_connections_opened_total", "Callers' connections"},
+     {"cyclamen_rate_admitted_total", "Requests that received a rate token"},
+     {"cyclamen_rate_refused_total", "Requests refused without a rate token"},
+     {"cyclamen_loans_granted_total", "Rate loans granted to other hosts"},
+     {"cyclamen_loans_returned_total", "Rate loans returned"},
+     {"cyclamen_claims_granted_total",
+      "Claims granted for never-repeat requests"},
+     {"cyclamen_claims_refused_total",
+      "Claims on never-repeat requests refused"},
+     {"cyclamen_gate_started_total", "Requests started at the upstream gate"},
+     {"cyclamen_gate_refused_total", "Requests refused at the upstream gate"},
+     {"cyclamen_caller_connections_opened_total",
+      "Connections accepted from callers"},
      {"cyclamen_peer_links_opened_total", "Peer links authenticated"},
      {"cyclamen_peer_links_rejected_total", "Peer links rejected"},
      {"cyclamen_peer_received_bytes_total", "Bytes read from peer links"},
@@ -38,30 +41,35 @@
      {"cyclamen_datagram_received_bytes_total", "Bytes of datagrams received"},
      {"cyclamen_datagram_sent_bytes_total", "Bytes of datagrams sent"},
      {"cyclamen_bad_inputs_total", "Malformed messages that were dropped"},
-     {"cyclamen_events_overwritten_total", "Events lost from the ring"},
+     {"cyclamen_events_overwritten_total",
+      "Events overwritten in the event ring"},
      {"cyclamen_control_microseconds_total",
-      "Processor time of the control thread"}}};
+      "Processor time of the control thread in microseconds"}}};
 
 constexpr std::array<metric_description, gauge_count> gauge_table{
-    {{"cyclamen_requests_in_flight", "Callers' requests under way"},
-     {"cyclamen_gate_queue", "Requests waiting at the last gate"},
-     {"cyclamen_gate_limit", "Concurrency limit of the last gate"},
-     {"cyclamen_gate_in_flight", "Requests running behind the last gate"},
+    {{"cyclamen_requests_in_flight", "Callers' requests in flight"},
+     {"cyclamen_gate_queue", "Requests queued at the upstream gate"},
+     {"cyclamen_gate_limit", "Concurrency limit of the upstream gate"},
+     {"cyclamen_gate_in_flight",
+      "Requests admitted by the upstream gate and running"},
      {"cyclamen_caller_connections", "Open connections of callers"},
-     {"cyclamen_peers_connected", "Peer links that are up"},
-     {"cyclamen_members_alive", "Members believed to be alive"},
-     {"cyclamen_members_suspect", "Members under suspicion"},
-     {"cyclamen_upstreams_usable", "Upstreams that may be tried"},
+     {"cyclamen_peers_connected", "Established peer links"},
+     {"cyclamen_members_alive", "Members in the state alive"},
+     {"cyclamen_members_suspect", "Members in the state suspect"},
+     {"cyclamen_upstreams_usable", "Upstreams eligible for requests"},
      {"cyclamen_configuration_revision", "Configuration revision in force"},
-     {"cyclamen_platform_reachable", "1 while the platform answers"},
+     {"cyclamen_platform_reachable",
+      "1 while the platform responds, 0 otherwise"},
      {"cyclamen_resident_bytes", "Resident memory of the process"}}};
 
 constexpr std::array<metric_description, histogram_count> histogram_table{
-    {{"cyclamen_request_seconds", "From a request's header to its last byte"},
-     {"cyclamen_added_seconds", "Time of a call spent outside the upstream"},
-     {"cyclamen_gate_wait_seconds", "Time spent in the last gate's queue"},
+    {{"cyclamen_request_seconds",
+      "Time from a request's header to its last byte"},
+     {"cyclamen_added_seconds",
+      "Part of a call's time spent outside the upstream"},
+     {"cyclamen_gate_wait_seconds", "Time spent in the upstream gate's queue"},
      {"cyclamen_token_wait_seconds", "Time spent waiting for a rate token"},
-     {"cyclamen_claim_seconds", "Time from asking for a claim to its answer"},
+     {"cyclamen_claim_seconds", "Time from a claim request to its answer"},
      {"cyclamen_platform_seconds", "Time of calls to the platform"}}};
 
 template <class Id>
@@ -92,7 +100,7 @@
     text += '\n';
 }
 
-// One sample; `labels` is empty or stands in braces.
+// Writes one sample; `labels` is empty or includes the braces.
 void write_sample(
     std::string& text, std::string_view name, std::string_view labels,
     const std::string& value)
@@ -127,7 +135,8 @@
     write_header(text, what, "histogram");
     const std::string bucket_name = std::string(what.name) + "_bucket";
     const auto& axis = histogram.buckets.axis();
-    // Index -1 is below the first bound, and counts into each bucket.
+    // Index -1 is the underflow bin. Buckets are cumulative, so each contains
+    // it.
     std::uint64_t count = histogram.buckets.at(-1).value();
     for (int index = 0; index < axis.size(); ++index)
     {
@@ -139,13 +148,13 @@
     count += histogram.buckets.at(axis.size()).value();
     write_sample(text, bucket_name, "{le=\"+Inf\"}", std::to_string(count));
     const double sum =
-        static_cast<double>(histogram.sum_ns.load()) / nanoseconds_a_second;
+        static_cast<double>(histogram.sum_ns.load()) / nanoseconds_per_second;
     write_sample(text, std::string(what.name) + "_sum", "", number_text(sum));
     write_sample(
         text, std::string(what.name) + "_count", "", std::to_string(count));
 }
 
-void write_requests(std::string& text, const metrics& from)
+void write_requests(std::string& text, const metrics& source)
 {
     constexpr metric_description what{
         "cyclamen_requests_total",
@@ -156,7 +165,7 @@
         for (const auto& [result, result_name] : enum_names<outcome>::table)
         {
             const auto count =
-                from.requests[index_of(reason)][index_of(result)].load();
+                source.requests[index_of(reason)][index_of(result)].load();
             if (count > 0)
             {
                 write_sample(
@@ -168,7 +177,7 @@
     }
 }
 
-void write_refused_classes(std::string& text, const metrics& from)
+void write_refused_classes(std::string& text, const metrics& source)
 {
     constexpr metric_description what{
         "cyclamen_refused_total", "Refused requests by priority class"};
@@ -177,11 +186,11 @@
     {
         write_sample(
             text, what.name, "{class=\"" + std::string(name) + "\"}",
-            std::to_string(from.refused_by_class[index_of(priority)].load()));
+            std::to_string(source.refused_by_class[index_of(priority)].load()));
     }
 }
 
-void write_platform_calls(std::string& text, const metrics& from)
+void write_platform_calls(std::string& text, const metrics& source)
 {
     constexpr metric_description what{
         "cyclamen_platform_calls_total",
@@ -194,7 +203,7 @@
              enum_names<platform_status>::table)
         {
             const auto count =
-                from.platform_calls[index_of(operation)][index_of(status)]
+                source.platform_calls[index_of(operation)][index_of(status)]
                     .load();
             if (count > 0)
             {
@@ -233,25 +242,26 @@
     return histogram_table[index_of(id)];
 }
 
-void add(metrics& to, counter_id id, std::uint64_t amount)
+void add(metrics& target, counter_id id, std::uint64_t amount)
 {
-    to.counters[index_of(id)].fetch_add(amount, std::memory_order_relaxed);
+    target.counters[index_of(id)].fetch_add(amount, std::memory_order_relaxed);
 }
 
-void set(metrics& to, gauge_id id, std::int64_t value)
+void set(metrics& target, gauge_id id, std::int64_t value)
 {
-    to.gauges[index_of(id)].store(value, std::memory_order_relaxed);
+    target.gauges[index_of(id)].store(value, std::memory_order_relaxed);
 }
 
-void change(metrics& to, gauge_id id, std::int64_t difference)
+void change(metrics& target, gauge_id id, std::int64_t difference)
 {
-    to.gauges[index_of(id)].fetch_add(difference, std::memory_order_relaxed);
+    target.gauges[index_of(id)].fetch_add(
+        difference, std::memory_order_relaxed);
 }
 
-void observe(metrics& to, histogram_id id, duration value)
+void observe(metrics& target, histogram_id id, duration value)
 {
     const duration positive = std::max(value, duration::zero());
-    auto& [buckets, sum_ns] = to.histograms[index_of(id)];
+    auto& [buckets, sum_ns] = target.histograms[index_of(id)];
     buckets(to_seconds(positive));
     const auto nanoseconds =
         std::chrono::duration_cast<std::chrono::nanoseconds>(positive).count();
@@ -259,33 +269,33 @@
         static_cast<std::uint64_t>(nanoseconds), std::memory_order_relaxed);
 }
 
-void count_request(metrics& to, refusal reason, outcome result)
+void count_request(metrics& target, refusal reason, outcome result)
 {
-    to.requests[index_of(reason)][index_of(result)].fetch_add(
+    target.requests[index_of(reason)][index_of(result)].fetch_add(
         1, std::memory_order_relaxed);
 }
 
-void count_refused_class(metrics& to, priority_class priority)
+void count_refused_class(metrics& target, priority_class priority)
 {
-    to.refused_by_class[index_of(priority)].fetch_add(
+    target.refused_by_class[index_of(priority)].fetch_add(
         1, std::memory_order_relaxed);
 }
 
 void count_platform_call(
-    metrics& to, platform_operation operation, platform_status status)
+    metrics& target, platform_operation operation, platform_status status)
 {
-    to.platform_calls[index_of(operation)][index_of(status)].fetch_add(
+    target.platform_calls[index_of(operation)][index_of(status)].fetch_add(
         1, std::memory_order_relaxed);
 }
 
-std::uint64_t value_of(const metrics& of, counter_id id)
+std::uint64_t value_of(const metrics& source, counter_id id)
 {
-    return of.counters[index_of(id)].load(std::memory_order_relaxed);
+    return source.counters[index_of(id)].load(std::memory_order_relaxed);
 }
 
-duration quantile(const metrics& of, histogram_id id, double share)
+duration quantile(const metrics& source, histogram_id id, double share)
 {
-    const auto& buckets = of.histograms[index_of(id)].buckets;
+    const auto& buckets = source.histograms[index_of(id)].buckets;
     const auto& axis = buckets.axis();
     std::uint64_t total = 0;
     for (int index = -1; index <= axis.size(); ++index)
@@ -308,41 +318,41 @@
     return from_seconds(bound);
 }
 
-std::string write_prometheus(const metrics& from)
+std::string to_prometheus_text(const metrics& source)
 {
     std::string text;
-    write_requests(text, from);
-    write_refused_classes(text, from);
-    write_platform_calls(text, from);
+    write_requests(text, source);
+    write_refused_classes(text, source);
+    write_platform_calls(text, source);
     for (std::size_t index = 0; index < counter_count; ++index)
     {
         const metric_description& what = counter_table[index];
         write_header(text, what, "counter");
         write_sample(
-            text, what.name, "", std::to_string(from.counters[index].load()));
+            text, what.name, "", std::to_string(source.counters[index].load()));
     }
     for (std::size_t index = 0; index < gauge_count; ++index)
     {
         const metric_description& what = gauge_table[index];
         write_header(text, what, "gauge");
         write_sample(
-            text, what.name, "", std::to_string(from.gauges[index].load()));
+            text, what.name, "", std::to_string(source.gauges[index].load()));
     }
     for (std::size_t index = 0; index < histogram_count; ++index)
     {
-        write_histogram(text, histogram_table[index], from.histograms[index]);
+        write_histogram(text, histogram_table[index], source.histograms[index]);
     }
     return text;
 }
 
-void measure_memory(metrics& to)
+void update_resident_bytes(metrics& target)
 {
     std::ifstream file("/proc/self/statm");
     std::int64_t total_pages = 0;
     std::int64_t resident_pages = 0;
     if (file >> total_pages >> resident_pages)
     {
-        set(to, gauge_id::resident_bytes,
+        set(target, gauge_id::resident_bytes,
             resident_pages * sysconf(_SC_PAGESIZE));
     }
 }
--- a/src/adapters/node_runtime.cpp
+++ b/src/adapters/node_runtime.cpp
@@ -29,7 +29,7 @@
           gate(services),
           control(services, gate, wakeups, seed)
     {
-        decisions.most_per_second = settings.log.decisions_per_second;
+        decisions.max_lines_per_second = settings.log.decisions_per_second;
         control.max_key_staleness = settings.max_key_staleness;
     }
 
@@ -348,7 +348,7 @@
 
 std::string metrics_text(node_runtime& node)
 {
-    measure_memory(node.node_metrics);
+    update_resident_bytes(node.node_metrics);
     const load_report load = report_of(node.gate);
     set(node.node_metrics, gauge_id::gate_queue, load.queued);
     set(node.node_metrics, gauge_id::gate_limit, load.limit);
@@ -357,7 +357,7 @@
         static_cast<std::int64_t>(node.control.state.chain.current->revision));
     set(node.node_metrics, gauge_id::platform_reachable,
         node.control.platform_reachable ? 1 : 0);
-    return write_prometheus(node.node_metrics);
+    return to_prometheus_text(node.node_metrics);
 }
 
 // A node is ready while it has a configuration and is not draining.
@@ -562,9 +562,9 @@
     node->services.path.retries_node_refusals =
         node->services.path.treats_keyless_as_calls;
     node->gate.gate.settings = {
-        settings.upstream.trusts_slots != 0,
+        settings.upstream.has_exact_slots != 0,
         settings.upstream.reserved_for_calls / 100.0,
-        settings.upstream.trusts_slots != 0};
+        settings.upstream.has_exact_slots != 0};
     node->control.fleet_retry_slack = settings.retries.fleet_slack;
     node->services.path.limiter.longest_wait = settings.rates.longest_wait;
     node->services.path.limiter.has_loans =
@@ -622,7 +622,7 @@
     node.settings.log = next.log;
     {
         const std::scoped_lock lock(node.decisions.mutex);
-        node.decisions.most_per_second = next.log.decisions_per_second;
+        node.decisions.max_lines_per_second = next.log.decisions_per_second;
     }
     asio::post(
         node.control.io,
--- a/src/adapters/operators_client.cpp
+++ b/src/adapters/operators_client.cpp
@@ -41,13 +41,14 @@
     case http_call_status::answered:
         break;
     case http_call_status::not_sent:
-        return absl::UnavailableError(to_string(node) + " was not reached");
+        return absl::UnavailableError(
+            to_string(node) + " could not be reached");
     case http_call_status::broken:
         return absl::DeadlineExceededError(
             to_string(node) + " closed the connection without an answer");
     case http_call_status::timed_out:
         return absl::DeadlineExceededError(
-            to_string(node) + " did not answer in time");
+            to_string(node) + " sent no answer before the timeout");
     }
     if (result.body_bytes > result.body.size())
     {
@@ -57,8 +58,8 @@
     return operators_reply{result.http_status, std::move(result.body)};
 }
 
-asio::awaitable<void>
-ask(ip_endpoint node, http_call call, absl::StatusOr<operators_reply>& answer)
+asio::awaitable<void> send_call(
+    ip_endpoint node, http_call call, absl::StatusOr<operators_reply>& answer)
 {
     http_pool pool(
         co_await asio::this_coro::executor,
@@ -68,7 +69,7 @@
 
 } // namespace
 
-std::vector<absl::StatusOr<operators_reply>> ask_nodes(
+std::vector<absl::StatusOr<operators_reply>> call_nodes(
     const std::vector<ip_endpoint>& nodes, const operators_request& request,
     const operators_access& access)
 {
@@ -79,18 +80,18 @@
     {
         asio::co_spawn(
             context,
-            ask(nodes[index], call_of(request, access), answers[index]),
+            send_call(nodes[index], call_of(request, access), answers[index]),
             asio::detached);
     }
     context.run();
     return answers;
 }
 
-absl::StatusOr<operators_reply> ask_node(
+absl::StatusOr<operators_reply> call_node(
     const ip_endpoint& node, const operators_request& request,
     const operators_access& access)
 {
-    return ask_nodes({node}, request, access).front();
+    return call_nodes({node}, request, access).front();
 }
 
 } // namespace cyclamenhold
--- a/src/adapters/settings_table.hpp
+++ b/src/adapters/settings_table.hpp
@@ -1,5 +1,5 @@
-// The one table of settings: where each stands, its unit and range, what it
-// means, and the member that it fills.
+// The table of all settings: place in the file, unit, range, meaning, and the
+// member that holds the value. Parsing and the reference page both use it.
 #pragma once
 
 #include "adapters/settings.hpp"
@@ -16,17 +16,18 @@
 namespace cyclamenhold
 {
 
-// Gives the member of the settings that an entry fills.
+// Returns the member of node_settings that an entry sets.
 template <class Value>
-using member_of = Value& (*)(node_settings&);
+using member_accessor = Value& (*)(node_settings&);
 
 using setting_member = std::variant<
-    member_of<std::string>, member_of<std::uint32_t>, member_of<std::uint64_t>,
-    member_of<std::chrono::milliseconds>, member_of<double>,
-    member_of<ip_endpoint>, member_of<std::optional<ip_endpoint>>,
-    member_of<std::vector<ip_endpoint>>, member_of<log_level>,
-    member_of<interface_kind>, member_of<rate_sharing>,
-    member_of<std::vector<std::string>>>;
+    member_accessor<std::string>, member_accessor<std::uint32_t>,
+    member_accessor<std::uint64_t>, member_accessor<std::chrono::milliseconds>,
+    member_accessor<double>, member_accessor<ip_endpoint>,
+    member_accessor<std::optional<ip_endpoint>>,
+    member_accessor<std::vector<ip_endpoint>>, member_accessor<log_level>,
+    member_accessor<interface_kind>, member_accessor<rate_sharing>,
+    member_accessor<std::vector<std::string>>>;
 
 enum class setting_presence : std::uint8_t
 {
@@ -36,11 +37,11 @@
 
 struct setting_entry
 {
-    // A JSON pointer.
+    // JSON pointer to the setting.
     std::string_view place;
     setting_member member;
     setting_presence presence = setting_presence::optional;
-    // For numbers and times.
+    // Inclusive range; only for numbers and durations, both zero otherwise.
     std::uint64_t lowest = 0;
     std::uint64_t highest = 0;
     std::string_view unit;
