--- a/src/apps/cyclamen-ctl/ctl.cpp
+++ b/src/apps/cyclamen-ctl/ctl.cpp
@@ -73,7 +73,7 @@
 }
 
 absl::StatusOr<operators_reply>
-ask(const ctl_session& session, const operators_request& request)
+send_request(const ctl_session& session, const operators_request& request)
 {
     return ask_node(session.arguments.node, request, session.access);
 }
@@ -88,7 +88,7 @@
 exit_code
 print_answer(const ctl_session& session, const operators_request& request)
 {
-    const auto reply = ask(session, request);
+    const auto reply = send_request(session, request);
     if (!reply.ok())
     {
         return not_reached(session, reply.status());
@@ -110,8 +110,8 @@
 exit_code confirm_plan(const ctl_session& session, const std::string& plan)
 {
     const json::object body{{"plan", plan}};
-    const auto reply =
-        ask(session, {"POST", "/v1/plans/confirm", json::serialize(body)});
+    const auto reply = send_request(
+        session, {"POST", "/v1/plans/confirm", json::serialize(body)});
     const bool unknown = !reply.ok() || reply->status == http_unavailable;
     if (unknown)
     {
@@ -171,7 +171,7 @@
 // Plans an intent and, with --yes, confirms the plan.
 exit_code plan_intent(const ctl_session& session, const std::string& intent)
 {
-    const auto reply = ask(session, {"POST", "/v1/intents", intent});
+    const auto reply = send_request(session, {"POST", "/v1/intents", intent});
     if (!reply.ok())
     {
         return not_reached(session, reply.status());
@@ -240,15 +240,15 @@
         session.errors << to_string(found);
         return exit_code::bad_usage;
     }
-    const auto made =
+    const auto created =
         make_key(arguments.subject, arguments.key_workspace, secret);
-    if (!made.ok())
+    if (!created.ok())
     {
-        session.errors << made.status().message() << '\n';
+        session.errors << created.status().message() << '\n';
         return exit_code::bad_usage;
     }
     const exit_code result =
-        plan_intent(session, intent_of(arguments, made->entry));
+        plan_intent(session, intent_of(arguments, created->entry));
     if (result == exit_code::refused)
     {
         return result;
@@ -256,12 +256,12 @@
     // A key whose plan may be in force must not be lost with the answer.
     if (arguments.json)
     {
-        session.out << json::serialize(json::object{{"key", made->key}})
+        session.out << json::serialize(json::object{{"key", created->key}})
                     << '\n';
     }
     else
     {
-        session.out << "The key, shown this once: " << made->key << '\n';
+        session.out << "The key, shown this once: " << created->key << '\n';
     }
     return result;
 }
--- a/src/apps/cyclamen-ctl/ctl_operations.cpp
+++ b/src/apps/cyclamen-ctl/ctl_operations.cpp
@@ -38,14 +38,14 @@
 
 std::string intent_of(const ctl_arguments& arguments, const workspace_key& key)
 {
-    operation asked;
-    asked.kind = kind_of(arguments.command);
-    asked.name = arguments.subject;
-    asked.workspace = arguments.workspace_value;
-    asked.route = arguments.route_value;
-    asked.data_centre = arguments.data_centre_value;
-    asked.key = key;
-    return to_json(std::vector<operation>{asked});
+    operation change;
+    change.kind = kind_of(arguments.command);
+    change.name = arguments.subject;
+    change.workspace = arguments.workspace_value;
+    change.route = arguments.route_value;
+    change.data_centre = arguments.data_centre_value;
+    change.key = key;
+    return to_json(std::vector<operation>{change});
 }
 
 } // namespace cyclamenhold
--- a/src/apps/cyclamen-ctl/new_key.cpp
+++ b/src/apps/cyclamen-ctl/new_key.cpp
@@ -43,12 +43,12 @@
         return absl::InternalError("no random bytes for a secret");
     }
     const std::string secret = to_hexadecimal(bytes);
-    new_key made;
-    made.key = "cyk_" + id + '_' + secret;
-    made.entry.id = id;
-    made.entry.workspace = workspace;
-    made.entry.digest = digest_of_secret(fleet_secret, secret);
-    return made;
+    new_key created;
+    created.key = "cyk_" + id + '_' + secret;
+    created.entry.id = id;
+    created.entry.workspace = workspace;
+    created.entry.digest = digest_of_secret(fleet_secret, secret);
+    return created;
 }
 
 } // namespace cyclamenhold
--- a/src/apps/cyclamen-load/caller.cpp
+++ b/src/apps/cyclamen-load/caller.cpp
@@ -28,9 +28,9 @@
 constexpr std::string_view checksum_header = "X-Body-Checksum";
 
 // One thread's part of the load.
-struct caller
+struct load_worker
 {
-    caller(
+    load_worker(
         const scenario& what, const fleet& where, time_point when,
         std::uint64_t seed)
         : plan(what), processes(where), start(when), random(seed)
@@ -64,15 +64,15 @@
 };
 
 // Any target of the first group that fits the path; null without one.
-http_pool* choose_pool(caller& from, std::string_view path)
+http_pool* choose_pool(load_worker& worker, std::string_view path)
 {
-    const auto& groups = from.processes.groups;
+    const auto& groups = worker.processes.groups;
     for (std::size_t index = 0; index < groups.size(); ++index)
     {
-        const auto& pools = from.pools[index];
+        const auto& pools = worker.pools[index];
         if (path.starts_with(groups[index].path_prefix) && !pools.empty())
         {
-            return pools[random_below(from.random, pools.size())].get();
+            return pools[random_below(worker.random, pools.size())].get();
         }
     }
     return nullptr;
@@ -95,39 +95,40 @@
     return text.data();
 }
 
-http_call make_call(caller& from, const arrival& what, std::size_t index)
+http_call make_call(load_worker& worker, const arrival& what, std::size_t index)
 {
-    const scenario_route& route = from.plan.routes[what.route];
-    const scenario_workspace& workspace = from.plan.workspaces[what.workspace];
+    const scenario_route& route = worker.plan.routes[what.route];
+    const scenario_workspace& workspace =
+        worker.plan.workspaces[what.workspace];
     http_call call;
     call.method = route.method;
-    call.target = route.path + "?marker=" + std::to_string(from.plan.seed) +
+    call.target = route.path + "?marker=" + std::to_string(worker.plan.seed) +
                   "-" + std::to_string(index);
     if (route.reply_bytes > 0)
     {
         call.target += "&reply_bytes=" + std::to_string(route.reply_bytes);
     }
-    if (const auto key = from.processes.keys.find(workspace.name);
-        key != from.processes.keys.end())
+    if (const auto key = worker.processes.keys.find(workspace.name);
+        key != worker.processes.keys.end())
     {
         call.headers.push_back({"Authorization", "Bearer " + key->second});
     }
     if (route.never_repeat)
     {
-        call.headers.push_back({"Idempotency-Key", make_uuid(from.random)});
+        call.headers.push_back({"Idempotency-Key", make_uuid(worker.random)});
     }
     call.headers.push_back(
         {"Cyclamen-Deadline-Ms", std::to_string(static_cast<std::uint64_t>(
-                                     from.plan.timeout_s * 1000.0))});
+                                     worker.plan.timeout_s * 1000.0))});
     // Unlike the body of any other call, so that a crossed reply shows.
     call.body = call.target;
     call.body.resize(
         std::max<std::size_t>(call.body.size(), route.body_bytes), '.');
-    call.timeout = from_seconds(from.plan.timeout_s);
+    call.timeout = from_seconds(worker.plan.timeout_s);
     return call;
 }
 
-bool is_whole(
+bool is_successful(
     const scenario_route& route, const http_result& result,
     const std::string& sent_body)
 {
@@ -157,28 +158,28 @@
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-// The caller gives up re-sending when the answer says that it may have run
+// The load_worker gives up re-sending when the answer says that it may have run
 // and must not run twice; the same key is used for all attempts.
-asio::awaitable<void> run_call(caller& from, std::size_t index)
+asio::awaitable<void> run_call(load_worker& worker, std::size_t index)
 {
-    const arrival& what = from.arrivals[index];
-    const scenario_route& route = from.plan.routes[what.route];
+    const arrival& what = worker.arrivals[index];
+    const scenario_route& route = worker.plan.routes[what.route];
     sent_call record;
     record.workspace = what.workspace;
     record.route = what.route;
     record.at_s = what.at_s;
-    const http_call call = make_call(from, what, index);
-    for (std::uint32_t attempt = 0; attempt <= from.plan.retries.attempts;
+    const http_call call = make_call(worker, what, index);
+    for (std::uint32_t attempt = 0; attempt <= worker.plan.retries.attempts;
          ++attempt)
     {
         if (attempt > 0)
         {
             // Half to one and a half times the delay.
-            const double share = 0.5 + random_fraction(from.random);
+            const double share = 0.5 + random_fraction(worker.random);
             co_await wait_until(
-                now() + from_seconds(share * from.plan.retries.delay_s));
+                now() + from_seconds(share * worker.plan.retries.delay_s));
         }
-        http_pool* const pool = choose_pool(from, route.path);
+        http_pool* const pool = choose_pool(worker, route.path);
         if (pool == nullptr)
         {
             break;
@@ -190,32 +191,32 @@
         record.result = value_named<outcome>(
                             header_value(result.headers, "Cyclamen-Outcome"))
                             .value_or(outcome::unknown);
-        record.whole = is_whole(route, result, call.body);
-        if (record.whole ||
+        record.succeeded = is_successful(route, result, call.body);
+        if (record.succeeded ||
             (route.never_repeat && record.result != outcome::not_run))
         {
             break;
         }
     }
-    record.done_s = to_seconds(now() - from.start);
-    from.records.push_back(record);
+    record.done_s = to_seconds(now() - worker.start);
+    worker.records.push_back(record);
 }
 
-asio::awaitable<void> run_arrivals(caller& from)
+asio::awaitable<void> run_arrivals(load_worker& worker)
 {
-    for (std::size_t index = 0; index < from.arrivals.size(); ++index)
+    for (std::size_t index = 0; index < worker.arrivals.size(); ++index)
     {
         co_await wait_until(
-            from.start + from_seconds(from.arrivals[index].at_s));
-        asio::co_spawn(from.context, run_call(from, index), asio::detached);
+            worker.start + from_seconds(worker.arrivals[index].at_s));
+        asio::co_spawn(worker.context, run_call(worker, index), asio::detached);
     }
 }
 
-void run_caller(caller& from)
+void run_worker(load_worker& worker)
 {
-    asio::co_spawn(from.context, run_arrivals(from), asio::detached);
+    asio::co_spawn(worker.context, run_arrivals(worker), asio::detached);
     // Ends when the last call is over; each is bounded by its timeouts.
-    from.context.run();
+    worker.context.run();
 }
 
 } // namespace
@@ -224,27 +225,27 @@
     const scenario& plan, const fleet& processes,
     const std::vector<arrival>& arrivals, time_point start)
 {
-    std::vector<std::unique_ptr<caller>> callers;
+    std::vector<std::unique_ptr<load_worker>> workers;
     for (std::uint32_t index = 0; index < plan.threads; ++index)
     {
-        callers.push_back(std::make_unique<caller>(
+        workers.push_back(std::make_unique<load_worker>(
             plan, processes, start, plan.seed + index));
     }
     for (std::size_t index = 0; index < arrivals.size(); ++index)
     {
-        callers[index % callers.size()]->arrivals.push_back(arrivals[index]);
+        workers[index % workers.size()]->arrivals.push_back(arrivals[index]);
     }
     std::vector<std::thread> threads;
-    threads.reserve(callers.size());
-    for (const auto& from : callers)
+    threads.reserve(workers.size());
+    for (const auto& worker : workers)
     {
-        threads.emplace_back(run_caller, std::ref(*from));
+        threads.emplace_back(run_worker, std::ref(*worker));
     }
     std::vector<sent_call> records;
-    for (std::size_t index = 0; index < callers.size(); ++index)
+    for (std::size_t index = 0; index < workers.size(); ++index)
     {
         threads[index].join();
-        const auto& part = callers[index]->records;
+        const auto& part = workers[index]->records;
         records.insert(records.end(), part.begin(), part.end());
     }
     return records;
--- a/src/apps/cyclamen-load/command_line.cpp
+++ b/src/apps/cyclamen-load/command_line.cpp
@@ -134,13 +134,13 @@
     settings.key = arguments["key"].as<std::string>();
     settings.rate = arguments["rate"].as<double>();
     settings.duration_s = arguments["seconds"].as<double>();
-    constexpr double highest_rate = 100'000.0;
-    constexpr double longest_s = 600.0;
-    if (!(settings.rate > 0.0 && settings.rate <= highest_rate))
+    constexpr double max_rate = 100'000.0;
+    constexpr double max_duration_s = 600.0;
+    if (!(settings.rate > 0.0 && settings.rate <= max_rate))
     {
         add_finding(command.found, "--rate", "must be in (0, 100000]");
     }
-    if (!(settings.duration_s > 0.0 && settings.duration_s <= longest_s))
+    if (!(settings.duration_s > 0.0 && settings.duration_s <= max_duration_s))
     {
         add_finding(command.found, "--seconds", "must be in (0, 600]");
     }
--- a/src/apps/cyclamen-load/latency_comparison.cpp
+++ b/src/apps/cyclamen-load/latency_comparison.cpp
@@ -25,9 +25,10 @@
 
 constexpr std::size_t connections = 64;
 
-struct way
+struct call_path
 {
-    way(asio::io_context& context, const asio::ip::tcp::endpoint& endpoint)
+    call_path(
+        asio::io_context& context, const asio::ip::tcp::endpoint& endpoint)
         : pool(context.get_executor(), endpoint, connections)
     {
     }
@@ -48,17 +49,17 @@
     }
     const comparison_settings& settings;
     asio::io_context context{1};
-    way direct;
-    way through;
+    call_path direct;
+    call_path through;
     random_source random;
     time_point measured_from;
 };
 
-asio::awaitable<void> run_call(comparison& run, way& taken)
+asio::awaitable<void> run_call(comparison& run, call_path& path)
 {
-    http_call call = taken.call;
+    http_call call = path.call;
     const time_point sent = now();
-    const http_result result = co_await http_send(taken.pool, std::move(call));
+    const http_result result = co_await http_send(path.pool, std::move(call));
     const duration latency = now() - sent;
     if (sent < run.measured_from)
     {
@@ -66,13 +67,13 @@
     }
     if (result.http_status != 200)
     {
-        ++taken.failed;
+        ++path.failed;
         co_return;
     }
-    taken.latencies_ms.push_back(to_seconds(latency) * 1000.0);
+    path.latencies_ms.push_back(to_seconds(latency) * 1000.0);
 }
 
-asio::awaitable<void> run_all(comparison& run)
+asio::awaitable<void> send_alternating(comparison& run)
 {
     const time_point start = now();
     const time_point end =
@@ -92,13 +93,13 @@
     }
 }
 
-way_figures figures_of(way& taken)
+path_figures figures_of(call_path& path)
 {
-    way_figures figures;
-    auto& latencies = taken.latencies_ms;
+    path_figures figures;
+    auto& latencies = path.latencies_ms;
     std::ranges::sort(latencies);
     figures.calls = latencies.size();
-    figures.failed = taken.failed;
+    figures.failed = path.failed;
     if (!latencies.empty())
     {
         figures.p50_ms = latencies[latencies.size() / 2];
@@ -107,7 +108,7 @@
     return figures;
 }
 
-boost::json::object to_object(const way_figures& figures)
+boost::json::object to_object(const path_figures& figures)
 {
     return {
         {"calls", figures.calls},
@@ -131,7 +132,7 @@
         call.headers.push_back({"Authorization", "Bearer " + settings.key});
     }
     run.through.call = call;
-    asio::co_spawn(run.context, run_all(run), asio::detached);
+    asio::co_spawn(run.context, send_alternating(run), asio::detached);
     run.context.run();
     return {figures_of(run.direct), figures_of(run.through)};
 }
--- a/src/apps/cyclamen-load/latency_comparison.hpp
+++ b/src/apps/cyclamen-load/latency_comparison.hpp
@@ -29,7 +29,7 @@
 };
 
 // Of one way; latencies in milliseconds.
-struct way_figures
+struct path_figures
 {
     std::uint64_t calls = 0;
     std::uint64_t failed = 0;
@@ -39,8 +39,8 @@
 
 struct comparison_figures
 {
-    way_figures direct;
-    way_figures through;
+    path_figures direct;
+    path_figures through;
 };
 
 [[nodiscard]] comparison_figures
--- a/src/apps/cyclamen-load/main.cpp
+++ b/src/apps/cyclamen-load/main.cpp
@@ -52,7 +52,7 @@
         send_calls(command.plan, command.processes, arrivals, start);
     triggers.join();
     const auto after = read_service_counts(command.processes);
-    return work_out_figures(
+    return compute_figures(
         command.plan, records, counts_between(before, after));
 }
 
--- a/src/apps/cyclamen-load/standin_control.cpp
+++ b/src/apps/cyclamen-load/standin_control.cpp
@@ -33,9 +33,9 @@
     http_result result;
     asio::co_spawn(
         context, http_send(pool, std::move(call)),
-        [&](const std::exception_ptr&, http_result got)
+        [&](const std::exception_ptr&, http_result reply)
         {
-            result = std::move(got);
+            result = std::move(reply);
         });
     context.run();
     return result;
@@ -75,11 +75,11 @@
     }
     for (const fleet_upstream& upstream : processes.upstreams)
     {
-        const bool chosen =
+        const bool is_affected =
             (trigger.service.empty() || trigger.service == upstream.service) &&
             (trigger.data_centre.empty() ||
              trigger.data_centre == upstream.data_centre);
-        if (chosen)
+        if (is_affected)
         {
             endpoints.push_back(upstream.control);
         }
@@ -87,24 +87,25 @@
     return endpoints;
 }
 
-struct trigger_step
+struct fault_change
 {
     double at_s = 0.0;
     std::vector<tcp::endpoint> endpoints;
     std::string faults;
 };
 
-std::vector<trigger_step> steps_of(const scenario& plan, const fleet& processes)
+std::vector<fault_change>
+fault_changes_of(const scenario& plan, const fleet& processes)
 {
-    std::vector<trigger_step> steps;
+    std::vector<fault_change> changes;
     for (const scenario_trigger& trigger : plan.triggers)
     {
         const auto endpoints = endpoints_of(trigger, processes);
-        steps.push_back({trigger.from_s, endpoints, trigger.on});
-        steps.push_back({trigger.until_s, endpoints, trigger.off});
+        changes.push_back({trigger.from_s, endpoints, trigger.on});
+        changes.push_back({trigger.until_s, endpoints, trigger.off});
     }
-    std::ranges::stable_sort(steps, {}, &trigger_step::at_s);
-    return steps;
+    std::ranges::stable_sort(changes, {}, &fault_change::at_s);
+    return changes;
 }
 
 } // namespace
@@ -152,13 +153,13 @@
 void run_triggers(
     const scenario& plan, const fleet& processes, time_point start)
 {
-    for (const trigger_step& step : steps_of(plan, processes))
+    for (const fault_change& change : fault_changes_of(plan, processes))
     {
-        std::this_thread::sleep_until(start + from_seconds(step.at_s));
-        for (const tcp::endpoint& endpoint : step.endpoints)
+        std::this_thread::sleep_until(start + from_seconds(change.at_s));
+        for (const tcp::endpoint& endpoint : change.endpoints)
         {
             const auto result =
-                control_call(endpoint, "PUT", "/v1/faults", step.faults);
+                control_call(endpoint, "PUT", "/v1/faults", change.faults);
             if (result.http_status != 200)
             {
                 std::cerr << "faults at " << endpoint
--- a/src/apps/cyclamen-node/main.cpp
+++ b/src/apps/cyclamen-node/main.cpp
@@ -20,19 +20,19 @@
 constexpr int exit_failed = 1;
 constexpr int exit_bad_settings = 2;
 // Some requests were cut when the stop took too long.
-constexpr int exit_cut = 3;
+constexpr int exit_requests_aborted = 3;
 
-std::atomic<int> signals_seen{0};
-std::atomic<bool> reload_asked{false};
+std::atomic<int> stop_signals{0};
+std::atomic<bool> reload_requested{false};
 
-void on_signal(int /*number*/)
+void on_stop_signal(int /*number*/)
 {
-    ++signals_seen;
+    ++stop_signals;
 }
 
 void on_reload_signal(int /*number*/)
 {
-    reload_asked = true;
+    reload_requested = true;
 }
 
 cxxopts::Options make_options()
@@ -62,34 +62,34 @@
 // Waits for a signal or an operator's request, then stops.
 int run_until_stopped(node_runtime& node, const std::string& path)
 {
-    while (signals_seen == 0 && !stop_requested(node))
+    while (stop_signals == 0 && !stop_requested(node))
     {
         std::this_thread::sleep_for(request_poll_interval);
-        if (reload_asked.exchange(false))
+        if (reload_requested.exchange(false))
         {
             reload_node(node, load_settings(path));
         }
     }
-    const int before = signals_seen;
-    std::atomic<bool> hurry{false};
+    const int before = stop_signals;
+    std::atomic<bool> abort_requests{false};
     std::atomic<bool> stopped{false};
     // A second signal ends the wait.
-    std::thread watcher(
+    std::thread signal_watcher(
         [&]
         {
-            while (!stopped && signals_seen <= std::max(before, 1))
+            while (!stopped && stop_signals <= std::max(before, 1))
             {
                 std::this_thread::sleep_for(std::chrono::milliseconds(20));
             }
-            hurry = true;
+            abort_requests = true;
         });
-    const stop_report report = stop_node(node, hurry);
+    const stop_report report = stop_node(node, abort_requests);
     stopped = true;
-    watcher.join();
+    signal_watcher.join();
     if (report.cut > 0)
     {
         std::cerr << "stopped with " << report.cut << " requests under way\n";
-        return exit_cut;
+        return exit_requests_aborted;
     }
     return exit_ok;
 }
@@ -160,8 +160,8 @@
 
 int main(int argc, char** argv)
 {
-    std::signal(SIGTERM, on_signal);
-    std::signal(SIGINT, on_signal);
+    std::signal(SIGTERM, on_stop_signal);
+    std::signal(SIGINT, on_stop_signal);
     std::signal(SIGHUP, on_reload_signal);
     std::signal(SIGPIPE, SIG_IGN);
     auto options = make_options();
--- a/src/apps/cyclamen-trace/collect_events.cpp
+++ b/src/apps/cyclamen-trace/collect_events.cpp
@@ -65,7 +65,7 @@
 }
 
 // Takes one answer; returns false when there is nothing more to ask.
-bool take_page(
+bool append_page(
     const absl::StatusOr<operators_reply>& answer, node_events& events)
 {
     if (!answer.ok())
@@ -106,7 +106,7 @@
     {
         node_events& events = collected[index];
         events.node = nodes[index];
-        bool more = take_page(answers[index], events);
+        bool more = append_page(answers[index], events);
         events.missing = !events.problem.empty();
         for (std::size_t page = 1; more && page < max_pages; ++page)
         {
@@ -116,7 +116,7 @@
                 nodes[index],
                 {"GET", write_event_query(next, arguments.workspace), ""},
                 access);
-            more = take_page(answer, events);
+            more = append_page(answer, events);
         }
         if (more)
         {
--- a/src/apps/cyclamen-trace/time_line_text.cpp
+++ b/src/apps/cyclamen-trace/time_line_text.cpp
@@ -40,10 +40,10 @@
     const event& what = record.what;
     std::array<char, 160> start{};
     const std::uint64_t wall_ms = wall_ms_of(record.time);
-    const double distance_s = static_cast<double>(wall_ms - first_ms) / 1000.0;
+    const double elapsed_s = static_cast<double>(wall_ms - first_ms) / 1000.0;
     std::snprintf(
         start.data(), start.size(), "%s %+9.3f  %-20s %-22s",
-        format_utc(wall_ms).c_str(), distance_s,
+        format_utc(wall_ms).c_str(), elapsed_s,
         name_or_address(names, record.host).c_str(),
         std::string(name_of(what.kind)).c_str());
     std::string text = start.data();
--- a/src/apps/cyclamen-trace/trace.cpp
+++ b/src/apps/cyclamen-trace/trace.cpp
@@ -35,7 +35,7 @@
                                                    : exit_code::success;
 }
 
-void print_gaps(std::ostream& errors, const std::vector<node_events>& nodes)
+void print_problems(std::ostream& errors, const std::vector<node_events>& nodes)
 {
     for (const auto& [node, problem, missing, page] : nodes)
     {
@@ -93,7 +93,7 @@
     out
         << (arguments.json ? time_line_json(line, nodes)
                            : time_line_text(line, nodes));
-    print_gaps(errors, nodes);
+    print_problems(errors, nodes);
     return exit_code_of(nodes);
 }
 
--- a/src/apps/cyclamen-trace/trace_arguments.cpp
+++ b/src/apps/cyclamen-trace/trace_arguments.cpp
@@ -143,17 +143,17 @@
 parse_wall_time(const std::string& text, std::uint64_t wall_ms)
 {
     using namespace std::chrono;
-    constexpr std::uint64_t milliseconds_a_second = 1000;
+    constexpr std::uint64_t milliseconds_per_second = 1000;
     int position = 0;
-    const auto is_whole = [&]
+    const auto is_fully_parsed = [&]
     {
         return static_cast<std::size_t>(position) == text.size();
     };
     unsigned seconds_ago = 0;
     if (std::sscanf(text.c_str(), "-%9u%n", &seconds_ago, &position) == 1 &&
-        is_whole())
+        is_fully_parsed())
     {
-        const std::uint64_t ago = seconds_ago * milliseconds_a_second;
+        const std::uint64_t ago = seconds_ago * milliseconds_per_second;
         return ago < wall_ms ? wall_ms - ago : 0;
     }
     int year_number = 0;
@@ -169,8 +169,9 @@
     const year_month_day date{
         year(year_number), month(month_number), day(day_number)};
     constexpr int all_fields = 6;
-    if (fields != all_fields || !is_whole() || !date.ok() || hour_number > 23 ||
-        minute_number > 59 || !(second_number >= 0) || second_number >= 60)
+    if (fields != all_fields || !is_fully_parsed() || !date.ok() ||
+        hour_number > 23 || minute_number > 59 || !(second_number >= 0) ||
+        second_number >= 60)
     {
         return std::nullopt;
     }
--- a/src/experiment/arrivals.cpp
+++ b/src/experiment/arrivals.cpp
@@ -61,7 +61,7 @@
     std::vector<arrival>& arrivals)
 {
     // A workspace that sends nothing now may do so in a later phase.
-    constexpr double idle_step_s = 0.01;
+    constexpr double silent_step_s = 0.01;
     const scenario_workspace& workspace = plan.workspaces[index];
     double at = 0.0;
     while (at < plan.duration_s)
@@ -69,7 +69,7 @@
         const double rate = offered_rate(plan, workspace, at);
         if (rate <= 0.0)
         {
-            at += idle_step_s;
+            at += silent_step_s;
             continue;
         }
         arrivals.push_back({at, index, draw_route(plan, random)});
--- a/src/experiment/figures.cpp
+++ b/src/experiment/figures.cpp
@@ -29,7 +29,7 @@
     return offered_rate(plan, workspace, record.at_s) <= workspace.rate;
 }
 
-// The calls sent in a time and the whole answers among them, a second.
+// The calls sent in a time and the succeeded answers among them, a second.
 struct interval_rates
 {
     double offered = 0.0;
@@ -49,7 +49,7 @@
         if (record.at_s >= from_s && record.at_s < until_s)
         {
             rates.offered += 1.0;
-            rates.served += record.whole ? 1.0 : 0.0;
+            rates.served += record.succeeded ? 1.0 : 0.0;
         }
     }
     rates.offered /= until_s - from_s;
@@ -76,7 +76,7 @@
             continue;
         }
         ++bins[index].offered;
-        if (record.whole)
+        if (record.succeeded)
         {
             ++bins[index].served;
             const auto priority = plan.routes[record.route].priority;
@@ -119,10 +119,10 @@
     auto index = static_cast<std::size_t>(std::ceil(until_s / bin_s));
     for (; index + recovery_bins <= bins.size(); ++index)
     {
-        const bool bin_is_up =
+        const bool has_bin_recovered =
             served_share(bins, index, 1) >= recovered_share * before;
-        if (bin_is_up && served_share(bins, index, recovery_bins) >=
-                             recovered_share * before)
+        if (has_bin_recovered && served_share(bins, index, recovery_bins) >=
+                                     recovered_share * before)
         {
             return std::max(0.0, bins[index].from_s - until_s);
         }
@@ -146,7 +146,7 @@
         if (record.at_s >= from_s && record.at_s < until_s)
         {
             workspace.offered += 1.0 / length;
-            workspace.served += record.whole ? 1.0 / length : 0.0;
+            workspace.served += record.succeeded ? 1.0 / length : 0.0;
         }
         if (is_refusal(record) && is_inside_rate(plan, record))
         {
@@ -208,7 +208,7 @@
         const auto priority = plan.routes[record.route].priority;
         auto& entry = figures.classes[static_cast<std::size_t>(priority)];
         ++entry.offered;
-        entry.served += record.whole;
+        entry.served += record.succeeded;
     }
 }
 
@@ -216,11 +216,11 @@
 double quantile(const Histogram& histogram, double share)
 {
     const double total = boost::histogram::algorithm::sum(histogram);
-    double seen = 0.0;
+    double cumulative = 0.0;
     for (auto&& cell : boost::histogram::indexed(histogram))
     {
-        seen += *cell;
-        if (total > 0.0 && seen >= share * total)
+        cumulative += *cell;
+        if (total > 0.0 && cumulative >= share * total)
         {
             return cell.bin().upper();
         }
@@ -240,7 +240,7 @@
             800, 0.01, 1'000'000.0));
     for (const sent_call& record : records)
     {
-        if (record.whole && record.at_s >= plan.warm_up_s)
+        if (record.succeeded && record.at_s >= plan.warm_up_s)
         {
             histogram((record.done_s - record.at_s) * 1000.0);
         }
@@ -286,7 +286,7 @@
     return shares;
 }
 
-experiment_figures work_out_figures(
+experiment_figures compute_figures(
     const scenario& plan, const record_list& records,
     const std::vector<service_counts>& services)
 {
--- a/src/experiment/figures.hpp
+++ b/src/experiment/figures.hpp
@@ -22,8 +22,8 @@
     // Of the last attempt; zero when none was answered.
     unsigned status = 0;
     outcome result = outcome::unknown;
-    // A whole and correct reply arrived.
-    bool whole = false;
+    // A succeeded and correct reply arrived.
+    bool succeeded = false;
     std::uint32_t attempts = 0;
 };
 
@@ -47,8 +47,8 @@
     double served = 0.0;
     // Its max-min share of what all were served together, of at most its rate.
     double entitled = 0.0;
-    // Calls refused while it sent no more than its rate: over the whole run,
-    // and those of them refused for their rate.
+    // Calls refused while it sent no more than its rate: over the succeeded
+    // run, and those of them refused for their rate.
     std::uint64_t refused_inside_rate = 0;
     std::uint64_t rate_refused_inside_rate = 0;
 };
@@ -95,7 +95,7 @@
     std::uint64_t rate_refused_inside_rate = 0;
     // Attempts that reached the deepest service for each call.
     double deepest_attempts = 0.0;
-    // Of whole answers, in milliseconds.
+    // Of succeeded answers, in milliseconds.
     double latency_p50_ms = 0.0;
     double latency_p99_ms = 0.0;
     std::vector<workspace_figures> workspaces;
@@ -104,7 +104,7 @@
     std::vector<service_counts> services;
 };
 
-[[nodiscard]] experiment_figures work_out_figures(
+[[nodiscard]] experiment_figures compute_figures(
     const scenario& plan, const std::vector<sent_call>& records,
     const std::vector<service_counts>& services);
 
--- a/src/experiment/member_reader.cpp
+++ b/src/experiment/member_reader.cpp
@@ -24,10 +24,10 @@
            std::to_string(column);
 }
 
-std::string bounds_message(double least, double most)
+std::string bounds_message(double minimum, double maximum)
 {
     std::ostringstream message;
-    message << "must be between " << least << " and " << most;
+    message << "must be between " << minimum << " and " << maximum;
     return message.str();
 }
 
@@ -82,17 +82,17 @@
         *found_, pointer_ + "/" + std::string(name), std::move(message));
 }
 
-std::string member_reader::text(std::string_view name, std::string otherwise)
+std::string member_reader::text(std::string_view name, std::string fallback)
 {
     const json::value* value = member(name);
     if (value == nullptr)
     {
-        return otherwise;
+        return fallback;
     }
     if (!value->is_string())
     {
         add(name, "must be a string");
-        return otherwise;
+        return fallback;
     }
     return std::string(value->get_string().c_str());
 }
@@ -108,34 +108,34 @@
 }
 
 double member_reader::number(
-    std::string_view name, double otherwise, double least, double most)
+    std::string_view name, double fallback, double minimum, double maximum)
 {
     const json::value* value = member(name);
     if (value == nullptr)
     {
-        return otherwise;
+        return fallback;
     }
     json::error_code error;
     const auto number = value->to_number<double>(error);
-    if (error || !(number >= least && number <= most))
+    if (error || !(number >= minimum && number <= maximum))
     {
-        add(name, bounds_message(least, most));
-        return otherwise;
+        add(name, bounds_message(minimum, maximum));
+        return fallback;
     }
     return number;
 }
 
-bool member_reader::flag(std::string_view name, bool otherwise)
+bool member_reader::flag(std::string_view name, bool fallback)
 {
     const json::value* value = member(name);
     if (value == nullptr)
     {
-        return otherwise;
+        return fallback;
     }
     if (!value->is_bool())
     {
         add(name, "must be true or false");
-        return otherwise;
+        return fallback;
     }
     return value->get_bool();
 }
--- a/src/experiment/member_reader.hpp
+++ b/src/experiment/member_reader.hpp
@@ -26,13 +26,13 @@
     member_reader(
         const boost::json::value& value, std::string pointer, findings& found);
 
-    // Each returns `otherwise` when the member is absent or wrong.
+    // Each returns `fallback` when the member is absent or wrong.
     [[nodiscard]] std::string
-    text(std::string_view name, std::string otherwise = {});
+    text(std::string_view name, std::string fallback = {});
     [[nodiscard]] std::string required_text(std::string_view name);
-    [[nodiscard]] double
-    number(std::string_view name, double otherwise, double least, double most);
-    [[nodiscard]] bool flag(std::string_view name, bool otherwise);
+    [[nodiscard]] double number(
+        std::string_view name, double fallback, double minimum, double maximum);
+    [[nodiscard]] bool flag(std::string_view name, bool fallback);
     [[nodiscard]] std::vector<std::string> texts(std::string_view name);
     [[nodiscard]] std::vector<double> numbers(std::string_view name);
     // The serialized object, "{}" when it is absent.
--- a/src/experiment/scenario.cpp
+++ b/src/experiment/scenario.cpp
@@ -10,18 +10,17 @@
 {
 
 // Bounds that keep a mistyped scenario from flooding the machine.
-constexpr double longest_s = 600.0;
-constexpr double highest_rate = 100'000.0;
-constexpr double largest_body = 64.0 * 1024 * 1024;
+constexpr double max_duration_s = 600.0;
+constexpr double max_rate = 100'000.0;
+constexpr double max_body_bytes = 64.0 * 1024 * 1024;
 
 scenario_workspace read_workspace(member_reader& reader)
 {
     scenario_workspace workspace;
     workspace.name = reader.required_text("name");
-    workspace.offered = reader.number("offered", 0.0, 0.0, highest_rate);
-    workspace.rate =
-        reader.number("rate", workspace.offered, 0.0, highest_rate);
-    workspace.burst = reader.number("burst", workspace.rate, 0.0, highest_rate);
+    workspace.offered = reader.number("offered", 0.0, 0.0, max_rate);
+    workspace.rate = reader.number("rate", workspace.offered, 0.0, max_rate);
+    workspace.burst = reader.number("burst", workspace.rate, 0.0, max_rate);
     reader.reject_unknown();
     return workspace;
 }
@@ -45,9 +44,9 @@
     }
     route.weight = reader.number("weight", 1.0, 0.0, 1e6);
     route.body_bytes = static_cast<std::uint64_t>(
-        reader.number("body_bytes", 0.0, 0.0, largest_body));
+        reader.number("body_bytes", 0.0, 0.0, max_body_bytes));
     route.reply_bytes = static_cast<std::uint64_t>(
-        reader.number("reply_bytes", 0.0, 0.0, largest_body));
+        reader.number("reply_bytes", 0.0, 0.0, max_body_bytes));
     route.never_repeat = reader.flag("never_repeat", false);
     reader.reject_unknown();
     return route;
@@ -56,8 +55,8 @@
 scenario_phase read_phase(member_reader& reader)
 {
     scenario_phase phase;
-    phase.from_s = reader.number("from_s", 0.0, 0.0, longest_s);
-    phase.until_s = reader.number("until_s", 0.0, 0.0, longest_s);
+    phase.from_s = reader.number("from_s", 0.0, 0.0, max_duration_s);
+    phase.until_s = reader.number("until_s", 0.0, 0.0, max_duration_s);
     phase.multiplier = reader.number("multiplier", 1.0, 0.0, 1'000.0);
     phase.workspace = reader.text("workspace");
     reader.reject_unknown();
@@ -67,8 +66,8 @@
 scenario_trigger read_trigger(member_reader& reader)
 {
     scenario_trigger trigger;
-    trigger.from_s = reader.number("from_s", 0.0, 0.0, longest_s);
-    trigger.until_s = reader.number("until_s", 0.0, 0.0, longest_s);
+    trigger.from_s = reader.number("from_s", 0.0, 0.0, max_duration_s);
+    trigger.until_s = reader.number("until_s", 0.0, 0.0, max_duration_s);
     trigger.service = reader.text("service");
     trigger.data_centre = reader.text("data_centre");
     trigger.on = reader.object_text("on");
@@ -78,10 +77,10 @@
 }
 
 std::uint32_t
-read_count(member_reader& reader, std::string_view name, double otherwise)
+read_count(member_reader& reader, std::string_view name, double fallback)
 {
     return static_cast<std::uint32_t>(
-        reader.number(name, otherwise, 1.0, 100'000.0));
+        reader.number(name, fallback, 1.0, 100'000.0));
 }
 
 scenario_service read_service(member_reader& reader)
@@ -117,15 +116,15 @@
 {
     plan.name = reader.required_text("name");
     plan.seed = static_cast<std::uint64_t>(reader.number("seed", 1, 0, 1e15));
-    plan.duration_s = reader.number("duration_s", 30.0, 0.1, longest_s);
-    plan.warm_up_s = reader.number("warm_up_s", 2.0, 0.0, longest_s);
+    plan.duration_s = reader.number("duration_s", 30.0, 0.1, max_duration_s);
+    plan.warm_up_s = reader.number("warm_up_s", 2.0, 0.0, max_duration_s);
     const std::string arrivals = reader.text("arrivals", "poisson");
     if (arrivals != "poisson" && arrivals != "fixed")
     {
         reader.add("arrivals", "must be poisson or fixed");
     }
     plan.poisson = arrivals != "fixed";
-    plan.timeout_s = reader.number("timeout_s", 2.0, 0.01, longest_s);
+    plan.timeout_s = reader.number("timeout_s", 2.0, 0.01, max_duration_s);
     plan.threads =
         static_cast<std::uint32_t>(reader.number("threads", 2, 1, 4));
     plan.connections =
@@ -162,19 +161,19 @@
     }
 }
 
-void check_whole(member_reader& reader, const scenario& plan)
+void check_scenario(member_reader& reader, const scenario& plan)
 {
     if (plan.workspaces.empty())
     {
         reader.add("workspaces", "must not be empty");
     }
-    const bool drawable = std::ranges::any_of(
+    const bool has_selectable_route = std::ranges::any_of(
         plan.routes,
         [](const scenario_route& route)
         {
             return route.weight > 0.0;
         });
-    if (!drawable)
+    if (!has_selectable_route)
     {
         reader.add("routes", "must hold one with a positive weight");
     }
@@ -191,7 +190,7 @@
 }
 
 // False when the deployment cannot be parsed.
-bool add_defaults(
+bool merge_defaults(
     boost::json::value& value, std::string_view deployment, findings& found)
 {
     if (deployment.empty() || !value.is_object())
@@ -217,7 +216,7 @@
 {
     scenario plan;
     auto value = parse_json_with_comments(text, found);
-    if (!value || !add_defaults(*value, deployment, found))
+    if (!value || !merge_defaults(*value, deployment, found))
     {
         return plan;
     }
@@ -231,7 +230,7 @@
     read_list(reader, "phases", plan.phases, read_phase);
     read_list(reader, "triggers", plan.triggers, read_trigger);
     reader.reject_unknown();
-    check_whole(reader, plan);
+    check_scenario(reader, plan);
     return plan;
 }
 
@@ -241,11 +240,11 @@
     {
         return {plan.duration_s, plan.duration_s};
     }
-    disturbance whole{plan.duration_s, 0.0};
+    disturbance span{plan.duration_s, 0.0};
     const auto widen = [&](double from_s, double until_s)
     {
-        whole.from_s = std::min(whole.from_s, from_s);
-        whole.until_s = std::max(whole.until_s, until_s);
+        span.from_s = std::min(span.from_s, from_s);
+        span.until_s = std::max(span.until_s, until_s);
     };
     for (const scenario_phase& phase : plan.phases)
     {
@@ -255,8 +254,8 @@
     {
         widen(trigger.from_s, trigger.until_s);
     }
-    whole.until_s = std::min(whole.until_s, plan.duration_s);
-    return whole;
+    span.until_s = std::min(span.until_s, plan.duration_s);
+    return span;
 }
 
 double offered_rate(
@@ -265,9 +264,9 @@
     double rate = workspace.offered;
     for (const scenario_phase& phase : plan.phases)
     {
-        const bool concerns =
+        const bool applies =
             phase.workspace.empty() || phase.workspace == workspace.name;
-        if (concerns && at_s >= phase.from_s && at_s < phase.until_s)
+        if (applies && at_s >= phase.from_s && at_s < phase.until_s)
         {
             rate *= phase.multiplier;
         }
--- a/src/standin/key_value_store.cpp
+++ b/src/standin/key_value_store.cpp
@@ -27,29 +27,29 @@
     store.answers.emplace(due, store_answer{caller, std::move(reply)});
 }
 
-bool within_budget(key_value_store& store, time_point now)
+bool is_within_rate_limit(key_value_store& store, time_point now)
 {
     if (store.faults.calls_per_second == 0)
     {
         return true;
     }
-    if (now - store.budget_second >= 1s)
+    if (now - store.rate_window_start >= 1s)
     {
-        store.budget_second = now;
-        store.budget_used = 0;
+        store.rate_window_start = now;
+        store.calls_in_window = 0;
     }
-    return ++store.budget_used <= store.faults.calls_per_second;
+    return ++store.calls_in_window <= store.faults.calls_per_second;
 }
 
-std::vector<platform_entry> entries_above(
+std::vector<platform_entry> entries_newer_than(
     const key_value_store& store, const std::string& prefix,
     std::uint64_t version, std::uint32_t limit)
 {
     std::vector<platform_entry> entries;
-    for (auto place = store.values.lower_bound(prefix);
-         place != store.values.end() && entries.size() < limit; ++place)
+    for (auto position = store.values.lower_bound(prefix);
+         position != store.values.end() && entries.size() < limit; ++position)
     {
-        const auto& [key, stored] = *place;
+        const auto& [key, stored] = *position;
         if (!key.starts_with(prefix))
         {
             break;
@@ -205,13 +205,13 @@
         break;
     }
     auto reply = reply_to(call, platform_status::ok);
-    const std::uint64_t above =
+    const std::uint64_t newer_than =
         call.operation == platform_operation::watch ? call.expected_version : 0;
-    reply.entries = entries_above(store, call.key, above, call.limit);
+    reply.entries = entries_newer_than(store, call.key, newer_than, call.limit);
     return reply;
 }
 
-bool loses_answer(key_value_store& store, platform_operation operation)
+bool should_lose_answer(key_value_store& store, platform_operation operation)
 {
     if (!is_store_write(operation))
     {
@@ -235,44 +235,46 @@
 }
 
 // Sends an answer back through the faults that may delay or lose it.
-void finish(
+void deliver_reply(
     key_value_store& store, const pending_call& pending, platform_reply reply,
     time_point now)
 {
-    const time_point gives_up = pending.received_at + pending.call.timeout;
+    const time_point timeout_at = pending.received_at + pending.call.timeout;
     const time_point due = now + store.faults.delay / 2;
-    if (loses_answer(store, pending.call.operation))
+    if (should_lose_answer(store, pending.call.operation))
     {
         ++store.counts.lost_answers;
-        answer_unavailable(store, pending, std::max(now, gives_up));
+        answer_unavailable(store, pending, std::max(now, timeout_at));
         return;
     }
-    if (pending.call.operation != platform_operation::watch && due > gives_up)
+    if (pending.call.operation != platform_operation::watch && due > timeout_at)
     {
-        answer_unavailable(store, pending, std::max(now, gives_up));
+        answer_unavailable(store, pending, std::max(now, timeout_at));
         return;
     }
     answer_at(store, due, pending.caller, std::move(reply));
 }
 
 // Answers the watches that a change concerns.
-void wake_watches(key_value_store& store, time_point now)
+void notify_watches(key_value_store& store, time_point now)
 {
-    for (auto place = store.watches.begin(); place != store.watches.end();)
+    for (auto position = store.watches.begin();
+         position != store.watches.end();)
     {
-        const pending_call& watch = place->second;
+        const pending_call& watch = position->second;
         auto reply = execute(store, watch.call, now);
         if (reply.entries.empty())
         {
-            ++place;
+            ++position;
             continue;
         }
-        finish(store, watch, std::move(reply), now);
-        place = store.watches.erase(place);
+        deliver_reply(store, watch, std::move(reply), now);
+        position = store.watches.erase(position);
     }
 }
 
-void arrive(key_value_store& store, const pending_call& pending, time_point now)
+void execute_pending(
+    key_value_store& store, const pending_call& pending, time_point now)
 {
     expire_leases(store, now);
     const std::uint64_t before = store.revision;
@@ -283,16 +285,16 @@
         store.watches.emplace(pending.received_at + pending.call.wait, pending);
         return;
     }
-    finish(store, pending, std::move(reply), now);
+    deliver_reply(store, pending, std::move(reply), now);
     if (store.revision != before)
     {
-        wake_watches(store, now);
+        notify_watches(store, now);
     }
 }
 
 // Ends the watches that have waited long enough, or all when the store is
 // down.
-void end_watches(key_value_store& store, time_point now)
+void expire_watches(key_value_store& store, time_point now)
 {
     while (!store.watches.empty())
     {
@@ -308,7 +310,8 @@
             answer_unavailable(store, watch, now);
             continue;
         }
-        finish(store, watch, reply_to(watch.call, platform_status::ok), now);
+        deliver_reply(
+            store, watch, reply_to(watch.call, platform_status::ok), now);
     }
 }
 
@@ -325,7 +328,7 @@
         answer_unavailable(store, pending, now + call.timeout);
         return;
     }
-    if (!within_budget(store, now))
+    if (!is_within_rate_limit(store, now))
     {
         ++store.counts.rejected;
         answer_at(
@@ -334,19 +337,19 @@
     }
     if (store.faults.delay > duration::zero())
     {
-        store.arriving.emplace(now + store.faults.delay / 2, pending);
+        store.in_transit.emplace(now + store.faults.delay / 2, pending);
         return;
     }
-    arrive(store, pending, now);
+    execute_pending(store, pending, now);
 }
 
 std::vector<store_answer> store_poll(key_value_store& store, time_point now)
 {
     expire_leases(store, now);
-    while (!store.arriving.empty() && store.arriving.begin()->first <= now)
+    while (!store.in_transit.empty() && store.in_transit.begin()->first <= now)
     {
-        const auto [at, pending] = *store.arriving.begin();
-        store.arriving.erase(store.arriving.begin());
+        const auto [at, pending] = *store.in_transit.begin();
+        store.in_transit.erase(store.in_transit.begin());
         if (store.faults.down)
         {
             answer_unavailable(
@@ -354,14 +357,14 @@
                 std::max(now, pending.received_at + pending.call.timeout));
             continue;
         }
-        arrive(store, pending, at);
+        execute_pending(store, pending, at);
     }
-    end_watches(store, now);
+    expire_watches(store, now);
     std::vector<store_answer> due;
     const auto end = store.answers.upper_bound(now);
-    for (auto place = store.answers.begin(); place != end; ++place)
+    for (auto position = store.answers.begin(); position != end; ++position)
     {
-        due.push_back(std::move(place->second));
+        due.push_back(std::move(position->second));
     }
     store.answers.erase(store.answers.begin(), end);
     return due;
@@ -370,7 +373,7 @@
 time_point store_due(const key_value_store& store)
 {
     time_point due = time_point::max();
-    for (const auto* queue : {&store.arriving, &store.watches})
+    for (const auto* queue : {&store.in_transit, &store.watches})
     {
         if (!queue->empty())
         {
@@ -384,7 +387,7 @@
     return due;
 }
 
-void store_forget_caller(key_value_store& store, store_caller caller)
+void store_drop_caller(key_value_store& store, store_caller caller)
 {
     const auto of_caller = [caller](const auto& item)
     {
@@ -393,7 +396,7 @@
     std::erase_if(store.watches, of_caller);
     std::erase_if(store.answers, of_caller);
     std::erase_if(
-        store.arriving,
+        store.in_transit,
         [&](const auto& item)
         {
             return of_caller(item) &&
@@ -401,7 +404,7 @@
         });
 }
 
-void store_lapse_lease(
+void store_expire_lease(
     key_value_store& store, std::uint64_t lease, time_point now)
 {
     const auto found = store.leases.find(lease);
@@ -413,7 +416,7 @@
     expire_leases(store, now);
 }
 
-void store_lapse_all_leases(key_value_store& store, time_point now)
+void store_expire_all_leases(key_value_store& store, time_point now)
 {
     for (auto& [id, lease] : store.leases)
     {
--- a/src/standin/key_value_store.hpp
+++ b/src/standin/key_value_store.hpp
@@ -89,13 +89,13 @@
     std::map<std::uint64_t, store_lease> leases;
     std::uint64_t next_lease = 1;
     // By the time at which they take effect.
-    std::multimap<time_point, pending_call> arriving;
+    std::multimap<time_point, pending_call> in_transit;
     // By the time at which they give up.
     std::multimap<time_point, pending_call> watches;
     // By the time at which they are due.
     std::multimap<time_point, store_answer> answers;
-    time_point budget_second{};
-    std::uint32_t budget_used = 0;
+    time_point rate_window_start{};
+    std::uint32_t calls_in_window = 0;
 };
 
 // Takes a call; its answer comes out of store_poll, at once where nothing
@@ -113,14 +113,14 @@
 
 // Drops the waiting calls and answers of a caller that has gone. Writes on
 // their way still take effect.
-void store_forget_caller(key_value_store& store, store_caller caller);
+void store_drop_caller(key_value_store& store, store_caller caller);
 
 // Ends a lease before its time, as if its holder had paused.
-void store_lapse_lease(
+void store_expire_lease(
     key_value_store& store, std::uint64_t lease, time_point now);
 
 // Ends all leases.
-void store_lapse_all_leases(key_value_store& store, time_point now);
+void store_expire_all_leases(key_value_store& store, time_point now);
 
 // Calls of all kinds since the start.
 [[nodiscard]] std::uint64_t store_call_count(const key_value_store& store);
--- a/tests/adapters/ctl_node_test.cpp
+++ b/tests/adapters/ctl_node_test.cpp
@@ -23,7 +23,7 @@
 using testing::HasSubstr;
 
 constexpr const char* credential = "operators-only-123";
-constexpr auto patience = std::chrono::seconds(20);
+constexpr auto platform_timeout = std::chrono::seconds(20);
 
 const ip_endpoint any_port = *parse_ip_endpoint("127.0.0.1:0");
 
@@ -100,7 +100,8 @@
     [[nodiscard]] tool_result
     ctl_until_done(const std::vector<std::string>& words) const
     {
-        const auto deadline = std::chrono::steady_clock::now() + patience;
+        const auto deadline =
+            std::chrono::steady_clock::now() + platform_timeout;
         tool_result result = ctl(words);
         while (result.code != exit_code::success &&
                std::chrono::steady_clock::now() < deadline)
@@ -111,7 +112,7 @@
     }
 };
 
-TEST(ctl_node, the_way_of_a_change)
+TEST(ctl_node, applies_changes_and_drains)
 {
     running_platform platform;
     auto node = start_node(
@@ -128,8 +129,9 @@
         const std::string wrong_file =
             testing::TempDir() + "cyclamen_ctl_node_wrong";
         std::ofstream(wrong_file) << "not-the-credential";
-        const operator_console stranger{console.node, wrong_file};
-        EXPECT_EQ(stranger.ctl({"status"}).code, exit_code::refused);
+        const operator_console unauthorized_console{console.node, wrong_file};
+        EXPECT_EQ(
+            unauthorized_console.ctl({"status"}).code, exit_code::refused);
     }
     {
         SCOPED_TRACE("a workspace is put in force and shown");
@@ -154,16 +156,16 @@
         };
         const std::string first = plan_of("museum");
         const std::string second = plan_of("museum");
-        const auto won = console.ctl({"confirm", first});
-        EXPECT_EQ(won.code, exit_code::success) << won.errors;
-        const auto lost = console.ctl({"confirm", second});
-        EXPECT_EQ(lost.code, exit_code::refused) << lost.out;
-        EXPECT_THAT(lost.errors, HasSubstr("museum"));
+        const auto confirmed = console.ctl({"confirm", first});
+        EXPECT_EQ(confirmed.code, exit_code::success) << confirmed.errors;
+        const auto conflicting = console.ctl({"confirm", second});
+        EXPECT_EQ(conflicting.code, exit_code::refused) << conflicting.out;
+        EXPECT_THAT(conflicting.errors, HasSubstr("museum"));
         {
             SCOPED_TRACE("while a repeat of the first is safe");
-            const auto again = console.ctl({"confirm", first});
-            EXPECT_EQ(again.code, exit_code::success) << again.errors;
-            EXPECT_EQ(again.out, won.out);
+            const auto repeated = console.ctl({"confirm", first});
+            EXPECT_EQ(repeated.code, exit_code::success) << repeated.errors;
+            EXPECT_EQ(repeated.out, confirmed.out);
         }
     }
     {
@@ -189,8 +191,8 @@
         SCOPED_TRACE("drain asks for the planned stop, which cuts nothing");
         EXPECT_EQ(console.ctl({"drain"}).code, exit_code::success);
         EXPECT_TRUE(stop_requested(**node));
-        const std::atomic<bool> hurry{false};
-        EXPECT_EQ(stop_node(**node, hurry).cut, 0U);
+        const std::atomic<bool> abort_requests{false};
+        EXPECT_EQ(stop_node(**node, abort_requests).cut, 0U);
     }
 }
 
--- a/tests/adapters/ctl_test.cpp
+++ b/tests/adapters/ctl_test.cpp
@@ -48,7 +48,7 @@
 }
 
 // A node that plans anything and confirms the one plan it knows.
-fake_reply agreeing_node(const fake_request& request)
+fake_reply confirming_node(const fake_request& request)
 {
     if (request.target == "/v1/intents")
     {
@@ -72,9 +72,9 @@
         .as_object();
 }
 
-TEST(ctl, a_change_is_planned_then_confirmed)
+TEST(ctl, plans_then_confirms_a_change)
 {
-    fake_operators_api node(agreeing_node);
+    fake_operators_api node(confirming_node);
     const std::string credential =
         file_with("credential", "operators-only-123\n");
     const auto planned =
@@ -119,9 +119,9 @@
     }
 }
 
-TEST(ctl, operations)
+TEST(ctl, sends_operations)
 {
-    fake_operators_api node(agreeing_node);
+    fake_operators_api node(confirming_node);
     {
         SCOPED_TRACE("a route with all of its fields");
         const auto planned =
@@ -175,9 +175,9 @@
     }
 }
 
-TEST(ctl, a_new_key)
+TEST(ctl, creates_a_key)
 {
-    fake_operators_api node(agreeing_node);
+    fake_operators_api node(confirming_node);
     const std::string secret_file = file_with("fleet", fleet_secret);
     const auto added =
         run({"key", "add", "k1", "--workspace", "school", "--fleet-secret-file",
@@ -222,7 +222,7 @@
     }
 }
 
-TEST(ctl, refusals)
+TEST(ctl, reports_refusals)
 {
     {
         SCOPED_TRACE("findings are printed with their places");
@@ -280,13 +280,13 @@
         SCOPED_TRACE("a node that is not there");
         std::string endpoint;
         {
-            endpoint = fake_operators_api(agreeing_node).endpoint();
+            endpoint = fake_operators_api(confirming_node).endpoint();
         }
         EXPECT_EQ(run({"status"}, endpoint).code, exit_code::not_reached);
     }
 }
 
-TEST(ctl, usage)
+TEST(ctl, reports_bad_usage)
 {
     for (const auto& words : std::vector<std::vector<std::string>>{
              {},
@@ -319,7 +319,7 @@
     }
 }
 
-TEST(ctl, answers_as_text_and_json)
+TEST(ctl, prints_replies_as_text_and_json)
 {
     constexpr const char* status =
         R"({"revision":5,"data_centres":[{"name":"brno","behind":0},)"
--- a/tests/adapters/examples_test.cpp
+++ b/tests/adapters/examples_test.cpp
@@ -23,7 +23,7 @@
     std::size_t workspace_count;
 };
 
-TEST(examples, both_deployments)
+TEST(examples, are_valid_for_both_deployments)
 {
     for (const auto& [name, node_count, data_centre_count, workspace_count] :
          {example{"brno", 12, 3, 8}, example{"badge-office", 16, 4, 8}})
--- a/tests/adapters/load_test.cpp
+++ b/tests/adapters/load_test.cpp
@@ -74,7 +74,7 @@
     return plan;
 }
 
-TEST(load_fleet, takes_only_loopback_addresses)
+TEST(load_fleet, accepts_only_loopback_addresses)
 {
     findings found;
     (void)parse_fleet(
@@ -91,7 +91,7 @@
     }
 }
 
-TEST(load, calls_faults_and_counts)
+TEST(load, sends_calls_and_switches_faults)
 {
     running_upstream upstream;
     const auto plan = short_scenario();
@@ -108,26 +108,26 @@
     const auto records = send_calls(plan, processes, arrivals, start);
     triggers.join();
     ASSERT_EQ(records.size(), arrivals.size());
-    std::size_t whole = 0;
+    std::size_t succeeded = 0;
     std::size_t attempts = 0;
     for (const sent_call& record : records)
     {
-        whole += record.whole;
+        succeeded += record.succeeded;
         attempts += record.attempts;
-        EXPECT_TRUE(record.whole || record.status == 503) << record.status;
+        EXPECT_TRUE(record.succeeded || record.status == 503) << record.status;
         // Without a word that it was not run, it is not sent again.
         const bool once = plan.routes[record.route].never_repeat;
         EXPECT_TRUE(!once || record.attempts == 1);
     }
-    EXPECT_LT(whole, records.size());
-    EXPECT_GT(whole, records.size() / 2);
+    EXPECT_LT(succeeded, records.size());
+    EXPECT_GT(succeeded, records.size() / 2);
     const auto counts = read_service_counts(processes);
     ASSERT_EQ(counts.size(), 1U);
     EXPECT_EQ(counts[0].received, attempts);
-    EXPECT_EQ(counts[0].finished, whole);
+    EXPECT_EQ(counts[0].finished, succeeded);
 }
 
-TEST(load, comparison_of_latencies)
+TEST(load, compares_direct_and_node_latency)
 {
     running_upstream upstream;
     comparison_settings settings;
@@ -144,7 +144,7 @@
     EXPECT_GE(figures.direct.p50_ms, 0.1);
 }
 
-TEST(load_command_line, findings_of_all_arguments)
+TEST(load_command_line, reports_all_bad_arguments)
 {
     std::vector<std::string> words{
         "cyclamen-load",
--- a/tests/adapters/trace_test.cpp
+++ b/tests/adapters/trace_test.cpp
@@ -77,7 +77,7 @@
     }
 };
 
-TEST(trace, a_time_line_over_nodes)
+TEST(trace, merges_events_of_all_nodes)
 {
     const fake_node first("brno-1", 1001, {0, 30});
     const fake_node second("brno-2", 1002, {5, 10, 20});
@@ -131,7 +131,7 @@
     }
 }
 
-TEST(trace, nodes_that_do_not_answer)
+TEST(trace, reports_nodes_without_events)
 {
     const fake_node first("brno-1", 1001, {0});
     fake_operators_api first_api(
@@ -180,7 +180,7 @@
     }
 }
 
-TEST(trace, usage)
+TEST(trace, reports_bad_usage)
 {
     for (const auto& words : std::vector<std::vector<std::string>>{
              {},
@@ -198,7 +198,7 @@
     EXPECT_EQ(run({"--help"}).code, exit_code::success);
 }
 
-TEST(trace, times)
+TEST(trace, parses_wall_times)
 {
     EXPECT_EQ(parse_wall_time("2023-11-14T22:13:20Z", 0), start_ms);
     EXPECT_EQ(parse_wall_time("2023-11-14T22:13:20.25Z", 0), start_ms + 250);
--- a/tests/core/experiment_test.cpp
+++ b/tests/core/experiment_test.cpp
@@ -37,7 +37,7 @@
     return plan;
 }
 
-TEST(scenario, problems_are_reported_together)
+TEST(scenario, reports_all_problems)
 {
     findings found;
     const auto plan = parse_scenario(
@@ -60,7 +60,7 @@
     EXPECT_EQ(found[0].place, "line 2, column 11");
 }
 
-TEST(scenario, members_left_out_come_from_the_deployment)
+TEST(scenario, takes_missing_members_from_the_deployment)
 {
     findings found;
     const auto plan = parse_scenario(
@@ -74,7 +74,7 @@
     EXPECT_EQ(plan.data_centres, std::vector<std::string>{"a"});
 }
 
-TEST(scenario, files_of_both_deployments)
+TEST(scenario, parses_the_files_of_both_deployments)
 {
     const auto read = [](const std::string& path)
     {
@@ -121,12 +121,14 @@
         std::size_t critical = 0;
         for (std::size_t index = 0; index < arrivals.size(); ++index)
         {
-            const arrival& one = arrivals[index];
-            EXPECT_EQ(one.at_s, again[index].at_s);
-            EXPECT_GE(one.at_s, index == 0 ? 0.0 : arrivals[index - 1].at_s);
-            surge += one.workspace == 0 && one.at_s >= 10 && one.at_s < 20;
-            small += one.workspace == 1;
-            critical += one.route == 0;
+            const arrival& planned = arrivals[index];
+            EXPECT_EQ(planned.at_s, again[index].at_s);
+            EXPECT_GE(
+                planned.at_s, index == 0 ? 0.0 : arrivals[index - 1].at_s);
+            surge += planned.workspace == 0 && planned.at_s >= 10 &&
+                     planned.at_s < 20;
+            small += planned.workspace == 1;
+            critical += planned.route == 0;
         }
         EXPECT_NEAR(static_cast<double>(surge), 2400.0, 200.0);
         EXPECT_NEAR(static_cast<double>(small), 600.0, 100.0);
@@ -146,41 +148,41 @@
 }
 
 // All are served but for the disturbance and two seconds after it, in which
-// the large workspace gets half and the small one a quarter.
-std::vector<sent_call> served_in_part(const scenario& plan)
+// the large workspace gets half and the small planned a quarter.
+std::vector<sent_call> partly_served_run(const scenario& plan)
 {
     std::vector<sent_call> records;
     std::vector<std::size_t> sent(plan.workspaces.size());
-    for (const arrival& one : make_arrivals(plan))
+    for (const arrival& planned : make_arrivals(plan))
     {
         sent_call record;
-        record.workspace = one.workspace;
-        record.route = one.route;
-        record.at_s = one.at_s;
-        record.done_s = one.at_s + 0.010;
+        record.workspace = planned.workspace;
+        record.route = planned.route;
+        record.at_s = planned.at_s;
+        record.done_s = planned.at_s + 0.010;
         record.attempts = 1;
-        const bool disturbed = one.at_s >= 10.0 && one.at_s < 22.0;
-        const std::size_t one_in = one.workspace == 0 ? 2 : 4;
-        const std::size_t number = sent[one.workspace]++;
-        record.whole = !disturbed || number % one_in == 0;
-        record.status = record.whole ? 200 : 503;
+        const bool disturbed = planned.at_s >= 10.0 && planned.at_s < 22.0;
+        const std::size_t one_in = planned.workspace == 0 ? 2 : 4;
+        const std::size_t number = sent[planned.workspace]++;
+        record.succeeded = !disturbed || number % one_in == 0;
+        record.status = record.succeeded ? 200 : 503;
         records.push_back(record);
     }
     return records;
 }
 
-TEST(figures, of_a_known_run)
+TEST(figures, match_a_known_run)
 {
     auto plan = two_workspaces();
     plan.poisson = false;
-    const auto records = served_in_part(plan);
-    const auto figures = work_out_figures(
-        plan, records, {{"deep", records.size() * 2, 0, 0, 0}});
+    const auto records = partly_served_run(plan);
+    const auto figures =
+        compute_figures(plan, records, {{"deep", records.size() * 2, 0, 0, 0}});
     EXPECT_NEAR(figures.goodput_before, 100.0, 1.0);
     EXPECT_NEAR(figures.goodput_during, 45.0, 1.0);
     EXPECT_NEAR(figures.recovery_s, 2.0, 0.3);
     EXPECT_EQ(figures.deepest_attempts, 2.0);
-    // 45 a second are shared: the small one could have had all of its 20.
+    // 45 a second are shared: the small planned could have had all of its 20.
     EXPECT_EQ(figures.worst_workspace, "small");
     EXPECT_NEAR(figures.worst_served, 0.25, 0.02);
     EXPECT_NEAR(figures.latency_p50_ms, 10.0, 0.5);
@@ -194,14 +196,14 @@
         {
             record.done_s = record.at_s + 20.0;
         }
-        const auto slow = work_out_figures(plan, late, {});
+        const auto slow = compute_figures(plan, late, {});
         EXPECT_NEAR(slow.latency_p99_ms, 20'000.0, 600.0);
     }
     {
         SCOPED_TRACE("what a workspace gets above its rate is left out");
         auto small_rates = plan;
         small_rates.workspaces[0].rate = 10.0;
-        const auto capped = work_out_figures(small_rates, records, {});
+        const auto capped = compute_figures(small_rates, records, {});
         EXPECT_NEAR(capped.goodput_inside_rate, 15.0, 1.0);
     }
     {
@@ -209,14 +211,14 @@
         auto never = records;
         for (sent_call& record : never)
         {
-            record.whole = record.whole && record.at_s < 10.0;
+            record.succeeded = record.succeeded && record.at_s < 10.0;
         }
-        EXPECT_LT(work_out_figures(plan, never, {}).recovery_s, 0.0);
+        EXPECT_LT(compute_figures(plan, never, {}).recovery_s, 0.0);
         for (sent_call& record : never)
         {
-            record.whole = false;
+            record.succeeded = false;
         }
-        EXPECT_LT(work_out_figures(plan, never, {}).recovery_s, 0.0);
+        EXPECT_LT(compute_figures(plan, never, {}).recovery_s, 0.0);
     }
     {
         SCOPED_TRACE("reports hold the same figures");
--- a/tests/core/membership_faults_test.cpp
+++ b/tests/core/membership_faults_test.cpp
@@ -199,7 +199,7 @@
         break_platform(state, kind);
         return;
     case fault::expire_leases:
-        store_lapse_all_leases(fleet.platform, fleet.now);
+        store_expire_all_leases(fleet.platform, fleet.now);
         return;
     case fault::cut_from_platform:
         cut_from_platform(fleet, place);
--- a/tests/support/fake_fleet.hpp
+++ b/tests/support/fake_fleet.hpp
@@ -253,7 +253,7 @@
 inline void kill_node(fake_fleet& fleet, std::size_t place)
 {
     fleet_node& node = fleet.nodes[place];
-    store_forget_caller(fleet.platform, caller_of(node, place));
+    store_drop_caller(fleet.platform, caller_of(node, place));
     node.running = false;
     ++node.life;
 }
@@ -266,7 +266,7 @@
     const store_caller caller = caller_of(node, place);
     std::vector<platform_reply> replies;
     for (const auto* calls :
-         {&fleet.platform.arriving, &fleet.platform.watches})
+         {&fleet.platform.in_transit, &fleet.platform.watches})
     {
         for (const auto& [at, pending] : *calls)
         {
@@ -291,7 +291,7 @@
             replies.back().entries.clear();
         }
     }
-    store_forget_caller(fleet.platform, caller);
+    store_drop_caller(fleet.platform, caller);
     for (const auto& reply : replies)
     {
         fleet.platform.answers.emplace(
--- a/tests/support/virtual_fleet.hpp
+++ b/tests/support/virtual_fleet.hpp
@@ -101,7 +101,7 @@
     {
         node.up = false;
         node.down_since = now();
-        store_forget_caller(platform, caller_of(node));
+        store_drop_caller(platform, caller_of(node));
         for (const auto& [waiter, workspace] : node.waiting)
         {
             ++oracles[workspace].refused;
--- a/tools/cyclamen-standin-platform/platform_server.cpp
+++ b/tools/cyclamen-standin-platform/platform_server.cpp
@@ -143,7 +143,7 @@
         }
         if (on != nullptr && *on && name == "lapse_leases")
         {
-            store_lapse_all_leases(server.store, now());
+            store_expire_all_leases(server.store, now());
         }
         return on != nullptr;
     }
