--- a/src/apps/cyclamen-ctl/ctl.cpp
+++ b/src/apps/cyclamen-ctl/ctl.cpp
@@ -23,7 +23,7 @@
 constexpr unsigned http_accepted = 202;
 constexpr unsigned http_unavailable = 503;
 
-// What all steps of one command share.
+// The context of one command.
 struct ctl_session
 {
     const ctl_arguments& arguments;
@@ -37,8 +37,8 @@
     return reply.status == http_ok || reply.status == http_accepted;
 }
 
-// Prints a list of findings or changes below a message, as far as the reply
-// holds them.
+// Prints the message of a reply, then its findings or changes; each is left out
+// if the reply does not contain it.
 void print_refusal(std::ostream& errors, const operators_reply& reply)
 {
     const auto object = parse_object(reply.body);
@@ -84,7 +84,8 @@
     return exit_code::not_reached;
 }
 
-// Asks and prints the answer as it is or as an outline.
+// Sends a request and prints the reply, unchanged with --json and otherwise as
+// an outline.
 exit_code
 print_answer(const ctl_session& session, const operators_request& request)
 {
@@ -184,7 +185,7 @@
     const std::string plan = object ? text_of(*object, "plan") : "";
     if (plan.empty())
     {
-        session.errors << "the node's answer holds no plan\n";
+        session.errors << "the node's reply contains no plan\n";
         return exit_code::refused;
     }
     if (!session.arguments.json)
@@ -210,7 +211,8 @@
     return plan_intent(session, *text);
 }
 
-// A plan itself, or a file that holds one or the answer with one in it.
+// Reads a plan. `subject` is the plan itself, or the path of a file with the
+// plan or with the node's JSON reply.
 std::string read_plan(const std::string& subject)
 {
     if (!std::ifstream(subject))
@@ -253,7 +255,8 @@
     {
         return result;
     }
-    // A key whose plan may be in force must not be lost with the answer.
+    // If the outcome is unknown, the plan may have been applied. The key cannot
+    // be retrieved later, so it is printed in this case as well.
     if (arguments.json)
     {
         session.out << json::serialize(json::object{{"key", created->key}})
@@ -261,7 +264,8 @@
     }
     else
     {
-        session.out << "The key, shown this once: " << created->key << '\n';
+        session.out << "The key, which cannot be shown again: " << created->key
+                    << '\n';
     }
     return result;
 }
--- a/src/apps/cyclamen-ctl/ctl.hpp
+++ b/src/apps/cyclamen-ctl/ctl.hpp
@@ -10,8 +10,8 @@
 namespace cyclamenhold
 {
 
-// `words` are those after the program's name. Answers go to `out`, problems
-// to `errors`.
+// Runs the command line `words`, without the program's name. Writes replies to
+// `out` and errors to `errors`.
 [[nodiscard]] exit_code run_ctl(
     const std::vector<std::string>& words, std::ostream& out,
     std::ostream& errors);
--- a/src/apps/cyclamen-ctl/ctl_arguments.cpp
+++ b/src/apps/cyclamen-ctl/ctl_arguments.cpp
@@ -14,15 +14,15 @@
   plan FILE              plan the operations in a JSON file
   confirm PLAN|FILE      put a plan in force
   show                   the configuration
-  status                 the fleet as the node sees it
-  key add ID             make a key for --workspace; needs --fleet-secret-file
+  status                 the state of the fleet as reported by the node
+  key add ID             create a key for --workspace; needs --fleet-secret-file
   key withdraw ID        withdraw a key
   workspace put NAME     with --rate and --burst
   workspace remove NAME
-  route put NAME         with --path-prefix and --service, and how it is run
+  route put NAME         with --path-prefix, --service and further options
   route remove NAME
   data-centre put NAME   with --region and --weight
-  drain                  ask the node to stop gracefully
+  drain                  stop the node gracefully
 
 A change is planned and printed; it takes effect only when the plan is
 confirmed, or at once with --yes.
@@ -30,7 +30,7 @@
 Exit status: 0 done, 1 refused or in conflict, 2 bad usage, 3 no answer.
 )";
 
-// What a command takes beside the options that all take.
+// Whether a command has a subject, and its options besides the common ones.
 struct command_rule
 {
     ctl_command command;
@@ -85,21 +85,22 @@
         cxxopts::value<std::string>()->default_value(""), "NAME");
     add("rate", "Requests a second over the whole fleet",
         cxxopts::value<double>()->default_value("0"), "N");
-    add("burst", "Requests that may come at once",
+    add("burst", "Size of the token bucket in requests",
         cxxopts::value<double>()->default_value("0"), "N");
     add("path-prefix", "Paths of a route",
         cxxopts::value<std::string>()->default_value(""), "PATH");
-    add("method", "Method of a route; any without it",
+    add("method", "Method of a route; any method if absent",
         cxxopts::value<std::string>()->default_value(""), "METHOD");
     add("service", "Service of a route",
         cxxopts::value<std::string>()->default_value(""), "NAME");
     add("priority", "critical, high, normal or low",
         cxxopts::value<std::string>()->default_value("normal"), "CLASS");
-    add("open", "The route runs without a key");
+    add("open", "Requests of the route need no key");
     add("never-repeat", "Requests reach an upstream at most once");
-    add("retry-allowance", "Further attempts of a request and all below it",
+    add("retry-allowance",
+        "Retries allowed for a request and all its child calls",
         cxxopts::value<std::uint16_t>()->default_value("2"), "N");
-    add("deadline-ms", "Longest time of a request",
+    add("deadline-ms", "Deadline of a request",
         cxxopts::value<std::uint32_t>()->default_value("5000"), "MS");
     add("region", "Region of a data centre",
         cxxopts::value<std::string>()->default_value(""), "NAME");
@@ -124,7 +125,8 @@
     return std::ranges::find(words, word) != words.end();
 }
 
-// Options of one command must not be given to another.
+// Adds a finding for each option that the command does not have and for each
+// required option that is missing.
 void check_options(
     const command_rule& rule, const cxxopts::ParseResult& parsed,
     findings& found)
@@ -141,7 +143,7 @@
         {
             add_finding(
                 found, "--" + name,
-                "does not go with " + std::string(name_of(rule.command)));
+                "is not an option of " + std::string(name_of(rule.command)));
         }
     }
     for (const std::string_view name : rule.required)
@@ -153,7 +155,8 @@
     }
 }
 
-// Splits the words into a command of one or two of them and its subject.
+// Splits the words into a command of one or two words and its subject. Returns
+// null for an unknown command.
 const command_rule* read_command(
     const std::vector<std::string>& words, ctl_arguments& arguments,
     findings& found)
@@ -176,7 +179,7 @@
     }
     if (!command)
     {
-        add_finding(found, "COMMAND", "is not one that --help lists");
+        add_finding(found, "COMMAND", "is unknown; --help lists the commands");
         return nullptr;
     }
     arguments.command = *command;
@@ -253,7 +256,7 @@
 std::string help_text(const cxxopts::Options& options)
 {
     std::string text = options.help();
-    // The positional words have no help of their own.
+    // The positional arguments are described in `usage`.
     if (const auto words = text.find("      --words");
         words != std::string::npos)
     {
--- a/src/apps/cyclamen-ctl/ctl_arguments.hpp
+++ b/src/apps/cyclamen-ctl/ctl_arguments.hpp
@@ -54,17 +54,17 @@
 struct ctl_arguments
 {
     ctl_command command = ctl_command::status;
-    // The file, plan, name or id that the command is about.
+    // The argument of the command: a file, plan, name or id.
     std::string subject;
     ip_endpoint node;
     std::string credential_file;
     std::string fleet_secret_file;
     duration timeout = 10s;
-    // Print what the API answered instead of text.
+    // Print the reply of the API as JSON instead of text.
     bool json = false;
-    // Confirm the plan in the same go.
+    // Confirm the plan at once.
     bool yes = false;
-    // What is to be put; the name is in `subject`.
+    // The entry to put, from the options; its name is `subject`.
     workspace workspace_value;
     route route_value;
     data_centre data_centre_value;
@@ -75,7 +75,7 @@
 enum class arguments_outcome : std::uint8_t
 {
     run,
-    // `text` is the answer to --help or --version.
+    // `text` is the help or version text.
     print,
     bad_usage
 };
@@ -88,7 +88,7 @@
     findings found;
 };
 
-// Reads the words after the program's name.
+// Parses the command line `words`, without the program's name.
 [[nodiscard]] ctl_arguments_result
 parse_ctl_arguments(const std::vector<std::string>& words);
 
--- a/src/apps/cyclamen-ctl/ctl_operations.hpp
+++ b/src/apps/cyclamen-ctl/ctl_operations.hpp
@@ -1,4 +1,4 @@
-// The operations of the intent API that a command stands for.
+// Translates commands to operations of the intent API.
 #pragma once
 
 #include "ctl_arguments.hpp"
@@ -10,8 +10,8 @@
 namespace cyclamenhold
 {
 
-// The body of POST /v1/intents for a command that changes one thing. `key` is
-// used by `key add` only.
+// The body of POST /v1/intents for a command that puts, removes or withdraws
+// one entry. Only `key add` uses `key`.
 [[nodiscard]] std::string
 intent_of(const ctl_arguments& arguments, const workspace_key& key);
 
--- a/src/apps/cyclamen-ctl/new_key.cpp
+++ b/src/apps/cyclamen-ctl/new_key.cpp
@@ -35,12 +35,13 @@
     if (id.empty() || id.find('_') != std::string::npos)
     {
         return absl::InvalidArgumentError(
-            "a key's id must not be empty or hold an underscore");
+            "a key's id must not be empty or contain an underscore");
     }
     std::array<unsigned char, secret_bytes> bytes{};
     if (RAND_bytes(bytes.data(), static_cast<int>(bytes.size())) != 1)
     {
-        return absl::InternalError("no random bytes for a secret");
+        return absl::InternalError(
+            "cannot generate random bytes for the key's secret");
     }
     const std::string secret = to_hexadecimal(bytes);
     new_key created;
--- a/src/apps/cyclamen-ctl/new_key.hpp
+++ b/src/apps/cyclamen-ctl/new_key.hpp
@@ -1,4 +1,4 @@
-// Makes the keys that callers show.
+// Creates the keys that callers send with their requests.
 #pragma once
 
 #include "core/configuration/model.hpp"
@@ -13,13 +13,14 @@
 
 struct new_key
 {
-    // What the caller is given, once: "cyk_<id>_<secret>".
+    // "cyk_<id>_<secret>". It is shown once, since only its digest is stored.
     std::string key;
-    // What the configuration keeps.
+    // The configuration entry with the digest of the secret.
     workspace_key entry;
 };
 
-// Makes a random secret for the key `id` of a workspace.
+// Creates the key `id` of a workspace, with a random secret. Fails if the id is
+// empty or contains an underscore, or if no random bytes are available.
 [[nodiscard]] absl::StatusOr<new_key> make_key(
     const std::string& id, const std::string& workspace,
     std::string_view fleet_secret);
--- a/src/apps/cyclamen-load/caller.cpp
+++ b/src/apps/cyclamen-load/caller.cpp
@@ -27,13 +27,16 @@
 
 constexpr std::string_view checksum_header = "X-Body-Checksum";
 
-// One thread's part of the load.
+// One thread of the load: its connections, its arrivals and their records.
 struct load_worker
 {
     load_worker(
-        const scenario& what, const fleet& where, time_point when,
-        std::uint64_t seed)
-        : plan(what), processes(where), start(when), random(seed)
+        const scenario& load_plan, const fleet& load_fleet,
+        time_point start_time, std::uint64_t seed)
+        : plan(load_plan),
+          processes(load_fleet),
+          start(start_time),
+          random(seed)
     {
         for (const target_group& group : processes.groups)
         {
@@ -57,13 +60,14 @@
     time_point start;
     asio::io_context context{1};
     random_source random;
-    // By the fleet's groups, and in each by its targets.
+    // Indexed by the fleet's groups, then by the group's targets.
     std::vector<std::vector<std::unique_ptr<http_pool>>> pools;
     std::vector<arrival> arrivals;
     std::vector<sent_call> records;
 };
 
-// Any target of the first group that fits the path; null without one.
+// A random target of the first group whose prefix matches the path; null when
+// no group has a target for it.
 http_pool* choose_pool(load_worker& worker, std::string_view path)
 {
     const auto& groups = worker.processes.groups;
@@ -78,7 +82,7 @@
     return nullptr;
 }
 
-// A UUID of version 7: the time, and random bits.
+// A UUID of version 7: the time in milliseconds, then random bits.
 std::string make_uuid(random_source& random)
 {
     const std::uint64_t time_bits = wall_clock_ms() & 0xffffffffffffULL;
@@ -95,11 +99,12 @@
     return text.data();
 }
 
-http_call make_call(load_worker& worker, const arrival& what, std::size_t index)
+http_call
+make_call(load_worker& worker, const arrival& scheduled, std::size_t index)
 {
-    const scenario_route& route = worker.plan.routes[what.route];
+    const scenario_route& route = worker.plan.routes[scheduled.route];
     const scenario_workspace& workspace =
-        worker.plan.workspaces[what.workspace];
+        worker.plan.workspaces[scheduled.workspace];
     http_call call;
     call.method = route.method;
     call.target = route.path + "?marker=" + std::to_string(worker.plan.seed) +
@@ -120,7 +125,7 @@
     call.headers.push_back(
         {"Cyclamen-Deadline-Ms", std::to_string(static_cast<std::uint64_t>(
                                      worker.plan.timeout_s * 1000.0))});
-    // Unlike the body of any other call, so that a crossed reply shows.
+    // Unique for each call, so that a reply to another call is detected.
     call.body = call.target;
     call.body.resize(
         std::max<std::size_t>(call.body.size(), route.body_bytes), '.');
@@ -158,23 +163,24 @@
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-// The load_worker gives up re-sending when the answer says that it may have run
-// and must not run twice; the same key is used for all attempts.
+// Sends one call and retries it when it fails. All attempts have the same
+// idempotency key. A call of a never_repeat route is retried only when the
+// reply states that it has not run.
 asio::awaitable<void> run_call(load_worker& worker, std::size_t index)
 {
-    const arrival& what = worker.arrivals[index];
-    const scenario_route& route = worker.plan.routes[what.route];
+    const arrival& scheduled = worker.arrivals[index];
+    const scenario_route& route = worker.plan.routes[scheduled.route];
     sent_call record;
-    record.workspace = what.workspace;
-    record.route = what.route;
-    record.at_s = what.at_s;
-    const http_call call = make_call(worker, what, index);
+    record.workspace = scheduled.workspace;
+    record.route = scheduled.route;
+    record.at_s = scheduled.at_s;
+    const http_call call = make_call(worker, scheduled, index);
     for (std::uint32_t attempt = 0; attempt <= worker.plan.retries.attempts;
          ++attempt)
     {
         if (attempt > 0)
         {
-            // Half to one and a half times the delay.
+            // Jitter: 0.5 to 1.5 times the delay.
             const double share = 0.5 + random_fraction(worker.random);
             co_await wait_until(
                 now() + from_seconds(share * worker.plan.retries.delay_s));
@@ -215,7 +221,7 @@
 void run_worker(load_worker& worker)
 {
     asio::co_spawn(worker.context, run_arrivals(worker), asio::detached);
-    // Ends when the last call is over; each is bounded by its timeouts.
+    // Returns after the last call; timeouts bound the length of each call.
     worker.context.run();
 }
 
--- a/src/apps/cyclamen-load/caller.hpp
+++ b/src/apps/cyclamen-load/caller.hpp
@@ -1,5 +1,5 @@
-// Callers that send the calls of a scenario at their times, whatever became
-// of the calls before them.
+// Open-loop load: sends the calls of a scenario at their scheduled times, also
+// while earlier calls have not finished.
 #pragma once
 
 #include "fleet.hpp"
@@ -15,8 +15,9 @@
 namespace cyclamenhold
 {
 
-// Sends all arrivals, beginning at `start`, on the scenario's number of
-// threads; returns one record a call when the last one is over.
+// Sends all arrivals, with their times counted from `start`, on
+// `plan.threads` threads. Returns one record per call after the last call has
+// finished.
 [[nodiscard]] std::vector<sent_call> send_calls(
     const scenario& plan, const fleet& processes,
     const std::vector<arrival>& arrivals, time_point start);
--- a/src/apps/cyclamen-load/command_line.cpp
+++ b/src/apps/cyclamen-load/command_line.cpp
@@ -22,20 +22,21 @@
         return cxxopts::value<double>()->default_value(value);
     };
     options.add_options()("scenario", "Scenario file", text())(
-        "deployment", "File with members that the scenario leaves out",
-        text())("fleet", "File that names the running processes", text())(
-        "check", "Check the files and send nothing")(
+        "deployment", "File with defaults for members that the scenario lacks",
+        text())(
+        "fleet", "File with the endpoints of the running processes",
+        text())("check", "Check the files and send nothing")(
         "json", "Print JSON instead of a table")(
         "json-file", "Write the figures as JSON",
         text())("csv", "Write the time line as CSV", text())(
-        "svg", "Write the time line as a picture",
+        "svg", "Write the time line as an SVG picture",
         text())("html", "Write a page with picture and table", text())(
-        "compare-direct", "Compare latencies: the upstream's endpoint",
-        text())("compare-through", "and the node's endpoint", text())(
+        "compare-direct", "Compare latencies: the upstream's endpoint", text())(
+        "compare-through", "Compare latencies: the node's endpoint", text())(
         "target", "Path of the compared calls",
         cxxopts::value<std::string>()->default_value("/"))(
         "key", "Key of the compared calls",
-        text())("rate", "Compared calls a second", real("1000"))(
+        text())("rate", "Compared calls per second", real("1000"))(
         "seconds", "Length of the comparison",
         real("10"))("help", "Print this help")("version", "Print the version");
     options.parse_positional("scenario");
@@ -63,7 +64,7 @@
     return *text;
 }
 
-// Puts the file's name before the places inside it.
+// Adds the findings of a file, each with the file's path before its place.
 void add_from_file(
     const std::string& path, const findings& inside, findings& found)
 {
--- a/src/apps/cyclamen-load/command_line.hpp
+++ b/src/apps/cyclamen-load/command_line.hpp
@@ -15,10 +15,10 @@
 
 struct load_command
 {
-    // Printed instead of running when not empty.
+    // The help or version text. If not empty, it is printed and nothing runs.
     std::string text;
     findings found;
-    // Only check the files.
+    // Check the files and send nothing.
     bool check = false;
     bool print_json = false;
     std::string json_file;
@@ -27,7 +27,7 @@
     std::string html_file;
     scenario plan;
     fleet processes;
-    // Set for the comparison of latencies instead of a scenario.
+    // If set, latencies are compared and no scenario is run.
     std::optional<comparison_settings> comparison;
 };
 
--- a/src/apps/cyclamen-load/fleet.cpp
+++ b/src/apps/cyclamen-load/fleet.cpp
@@ -18,7 +18,7 @@
     }
     if (!endpoint->address().is_loopback())
     {
-        add_finding(found, place, text + ": only loopback addresses are used");
+        add_finding(found, place, text + ": is not a loopback address");
         return std::nullopt;
     }
     return *endpoint;
--- a/src/apps/cyclamen-load/fleet.hpp
+++ b/src/apps/cyclamen-load/fleet.hpp
@@ -21,7 +21,7 @@
     boost::asio::ip::tcp::endpoint control;
 };
 
-// Where callers send the paths with a prefix.
+// The endpoints to which calls of paths with this prefix are sent.
 struct target_group
 {
     std::string path_prefix;
@@ -30,19 +30,20 @@
 
 struct fleet
 {
-    // The first one that fits a path is used.
+    // The first group whose prefix matches a path is used.
     std::vector<target_group> groups;
-    // By workspace.
+    // The key of each workspace, by the workspace's name.
     std::map<std::string, std::string> keys;
     std::vector<fleet_upstream> upstreams;
     std::optional<boost::asio::ip::tcp::endpoint> platform;
 };
 
-// Parses the description of a fleet; any address but a loopback one is a
-// finding.
+// Parses the description of a fleet. Each address that is not a loopback
+// address is a finding.
 [[nodiscard]] fleet parse_fleet(std::string_view text, findings& found);
 
-// Parses an address and refuses any but a loopback one.
+// Parses a loopback address with a port. Adds a finding at `place` and returns
+// nullopt for any other text or address.
 [[nodiscard]] std::optional<boost::asio::ip::tcp::endpoint>
 parse_loopback_endpoint(
     const std::string& text, const std::string& place, findings& found);
--- a/src/apps/cyclamen-load/latency_comparison.hpp
+++ b/src/apps/cyclamen-load/latency_comparison.hpp
@@ -1,5 +1,5 @@
-// Measures what nodes add to a call: the same calls in turn straight to an
-// upstream and through the nodes, in one run.
+// Measures the latency that a node adds to a call: one run sends the same calls
+// alternately to an upstream directly and through the node.
 #pragma once
 
 #include "core/base/time.hpp"
@@ -18,17 +18,17 @@
     boost::asio::ip::tcp::endpoint direct;
     boost::asio::ip::tcp::endpoint through;
     std::string target = "/";
-    // The key sent through the nodes; none when empty.
+    // The key sent with the calls through the node; empty for no key.
     std::string key;
     std::uint64_t body_bytes = 200;
-    // Calls a second, half of them each way.
+    // Calls per second, half of them on each path.
     double rate = 1'000.0;
     double duration_s = 10.0;
     double warm_up_s = 2.0;
     std::uint64_t seed = 1;
 };
 
-// Of one way; latencies in milliseconds.
+// The result of one path. `calls` counts those answered with status 200.
 struct path_figures
 {
     std::uint64_t calls = 0;
--- a/src/apps/cyclamen-load/main.cpp
+++ b/src/apps/cyclamen-load/main.cpp
@@ -18,7 +18,7 @@
 
 constexpr int exit_failure = 1;
 constexpr int exit_bad_input = 2;
-// Lets all threads be ready before the first call.
+// Time for all threads to start before the first call.
 constexpr auto start_delay = 200ms;
 
 bool write_file(const std::string& path, const std::string& text)
--- a/src/apps/cyclamen-load/standin_control.cpp
+++ b/src/apps/cyclamen-load/standin_control.cpp
@@ -141,7 +141,7 @@
     for (const service_counts& old : before)
     {
         service_counts& entry = entry_of(list, old.service);
-        // A restarted stand-in counts from zero.
+        // The counters of a restarted stand-in begin at zero.
         entry.received -= std::min(entry.received, old.received);
         entry.started -= std::min(entry.started, old.started);
         entry.finished -= std::min(entry.finished, old.finished);
@@ -162,9 +162,8 @@
                 control_call(endpoint, "PUT", "/v1/faults", change.faults);
             if (result.http_status != 200)
             {
-                std::cerr << "faults at " << endpoint
-                          << " were not set: " << result.http_status << ' '
-                          << result.body << '\n';
+                std::cerr << "cannot set faults at " << endpoint << ": status "
+                          << result.http_status << ' ' << result.body << '\n';
             }
         }
     }
--- a/src/apps/cyclamen-node/main.cpp
+++ b/src/apps/cyclamen-node/main.cpp
@@ -1,4 +1,4 @@
-// cyclamen-node: the process beside each upstream.
+// The command line of cyclamen-node, the process beside each upstream.
 #include "adapters/node_runtime.hpp"
 #include "adapters/secrets.hpp"
 #include "platform/protocol_profile.hpp"
@@ -19,7 +19,7 @@
 constexpr int exit_ok = 0;
 constexpr int exit_failed = 1;
 constexpr int exit_bad_settings = 2;
-// Some requests were cut when the stop took too long.
+// Requests in flight were aborted because the stop took too long.
 constexpr int exit_requests_aborted = 3;
 
 std::atomic<int> stop_signals{0};
@@ -41,7 +41,8 @@
     options.add_options()("help", "show this text")(
         "version", "show the version")(
         "settings", "the settings file", cxxopts::value<std::string>())(
-        "settings-variable", "the environment variable that names it",
+        "settings-variable",
+        "the environment variable with the path of that file",
         cxxopts::value<std::string>())("check", "check the settings and exit");
     return options;
 }
@@ -56,10 +57,11 @@
     std::cout << boost::json::serialize(line) << std::endl;
 }
 
-// Between two looks at what signals and operators ask for.
+// Between two checks for signals and operators' stop requests.
 constexpr auto request_poll_interval = std::chrono::milliseconds(100);
 
-// Waits for a signal or an operator's request, then stops.
+// Runs until a stop signal or an operator's stop request, then stops the node
+// and returns the exit code. A reload signal reads the settings again.
 int run_until_stopped(node_runtime& node, const std::string& path)
 {
     while (stop_signals == 0 && !stop_requested(node))
@@ -73,7 +75,7 @@
     const int before = stop_signals;
     std::atomic<bool> abort_requests{false};
     std::atomic<bool> stopped{false};
-    // A second signal ends the wait.
+    // A second signal ends the wait for requests in flight.
     std::thread signal_watcher(
         [&]
         {
@@ -88,7 +90,7 @@
     signal_watcher.join();
     if (report.cut > 0)
     {
-        std::cerr << "stopped with " << report.cut << " requests under way\n";
+        std::cerr << "stopped with " << report.cut << " requests in flight\n";
         return exit_requests_aborted;
     }
     return exit_ok;
@@ -129,7 +131,7 @@
     }
     if (arguments.count("check") > 0)
     {
-        std::cout << "the settings are sound\n";
+        std::cout << "the settings are valid\n";
         return exit_ok;
     }
     json_log log;
@@ -150,8 +152,8 @@
     print_ports(ports_of(**node));
     const int code = run_until_stopped(**node, settings_path(arguments));
     write_log(log, log_level::info, "process-ending", {{"code", code}});
-    // Nothing is left to save, and waiting for the threads of libraries would
-    // keep the platform from starting the next process.
+    // All state has been saved. Joining the threads of libraries would delay
+    // the start of the next process by the platform.
     std::cout.flush();
     std::quick_exit(code);
 }
@@ -180,8 +182,8 @@
         }
         if (settings_path(arguments).empty())
         {
-            std::cerr << "--settings FILE is needed, or --settings-variable "
-                         "with a variable that names it\n";
+            std::cerr << "--settings FILE is required, or --settings-variable "
+                         "NAME of a variable with the path of that file\n";
             return exit_bad_settings;
         }
         return run(arguments);
--- a/src/apps/cyclamen-trace/collect_events.cpp
+++ b/src/apps/cyclamen-trace/collect_events.cpp
@@ -13,7 +13,7 @@
 namespace json = boost::json;
 
 constexpr unsigned http_ok = 200;
-// Bounds what one node can make this program hold.
+// Limits the memory that the events of one node can use.
 constexpr std::size_t max_pages = 200;
 
 // The operators' endpoints of the members that a node's status lists.
@@ -64,7 +64,8 @@
     return nodes;
 }
 
-// Takes one answer; returns false when there is nothing more to ask.
+// Appends one page to the node's events, or records why it cannot be read.
+// Returns whether more pages follow.
 bool append_page(
     const absl::StatusOr<operators_reply>& answer, node_events& events)
 {
@@ -120,7 +121,7 @@
         }
         if (more)
         {
-            events.problem = "has more events than are read at once";
+            events.problem = "has more events than the page limit allows";
         }
     }
     return collected;
--- a/src/apps/cyclamen-trace/collect_events.hpp
+++ b/src/apps/cyclamen-trace/collect_events.hpp
@@ -12,20 +12,20 @@
 namespace cyclamenhold
 {
 
-// What came of asking one node.
+// The events of one node, or the reason why they are missing.
 struct node_events
 {
     ip_endpoint node;
-    // Why the node's events are missing, or are not all there; empty when
-    // they are whole.
+    // Why events of the node are missing or incomplete; empty if all were
+    // received.
     std::string problem;
-    // No event of the node is known.
+    // No page of events was received from the node.
     bool missing = false;
     event_page page;
 };
 
-// Asks the nodes that are given and, when wanted, those that they know. The
-// answer is sorted by endpoint.
+// Fetches the events of the given nodes and, if `arguments.discover` is set, of
+// the members in their status. The result is sorted by endpoint.
 [[nodiscard]] std::vector<node_events> collect_events(
     const trace_arguments& arguments, const operators_access& access);
 
--- a/src/apps/cyclamen-trace/trace.hpp
+++ b/src/apps/cyclamen-trace/trace.hpp
@@ -10,8 +10,9 @@
 namespace cyclamenhold
 {
 
-// `words` are those after the program's name. The time line goes to `out`,
-// what is missing from it to `errors` (and into the JSON).
+// Runs the command line `words`, without the program's name. Writes the time
+// line to `out`, and the nodes with missing or overwritten events to `errors`
+// and to the JSON.
 [[nodiscard]] exit_code run_trace(
     const std::vector<std::string>& words, std::ostream& out,
     std::ostream& errors);
--- a/src/apps/cyclamen-trace/trace_arguments.cpp
+++ b/src/apps/cyclamen-trace/trace_arguments.cpp
@@ -15,8 +15,8 @@
 
 constexpr std::string_view usage = R"(
 Times are like 2026-12-04T09:30:00Z, or seconds before now like -90.
-Nodes are given by --node or by their --settings files, and further ones are
-learned from the status of those.
+Nodes are given by --node or by their --settings files. Further nodes are read
+from the status of those.
 
 Exit status: 0 all nodes answered, 1 some did not, 2 bad usage, 3 none did.
 )";
@@ -32,7 +32,7 @@
         cxxopts::value<text_list>(), "IPv4:PORT,...");
     add("settings", "Settings file of a node; may be repeated",
         cxxopts::value<text_list>(), "FILE,...");
-    add("no-discover", "Ask no other nodes than those given");
+    add("no-discover", "Read only the given nodes");
     add("credential-file", "File with the operators' credential",
         cxxopts::value<std::string>()->default_value(""), "FILE");
     add("timeout-ms", "Time to wait for a node",
@@ -96,7 +96,7 @@
     }
     if (arguments.nodes.empty() && found.empty())
     {
-        add_finding(found, "--node", "is missing, and so is --settings");
+        add_finding(found, "--node", "or --settings is required");
     }
 }
 
@@ -128,7 +128,9 @@
             parse_wall_time(parsed[name].as<std::string>(), wall_ms);
         if (!time)
         {
-            add_finding(found, std::string("--") + name, "is not a time");
+            add_finding(
+                found, std::string("--") + name,
+                "must be a time like 2026-12-04T09:30:00Z or -90");
             return;
         }
         member = make_hybrid_time(*time);
