--- a/src/apps/cyclamen-trace/trace_arguments.cpp
+++ b/src/apps/cyclamen-trace/trace_arguments.cpp
@@ -96,7 +96,7 @@
     }
     if (arguments.nodes.empty() && found.empty())
     {
-        add_finding(found, "--node", "or --settings is required");
+        add_finding(found, "--node", "is required unless --settings is given");
     }
 }
 
--- a/src/experiment/arrivals.cpp
+++ b/src/experiment/arrivals.cpp
@@ -10,7 +10,8 @@
 namespace
 {
 
-// The highest rate that any phases can add up to.
+// The highest rate of a workspace over the run. Rates change only where phases
+// begin and end.
 double peak_rate(const scenario& plan, const scenario_workspace& workspace)
 {
     double peak = offered_rate(plan, workspace, 0.0);
@@ -33,8 +34,8 @@
         weights.begin(), weights.end())(random);
 }
 
-// Draws at the peak rate and keeps each arrival with the chance that brings
-// it down to the rate in force.
+// Generates a non-homogeneous Poisson process by thinning: draws arrivals at
+// the peak rate and accepts each with probability rate / peak.
 void add_poisson(
     const scenario& plan, std::uint32_t index, random_source& random,
     std::vector<arrival>& arrivals)
@@ -60,7 +61,8 @@
     const scenario& plan, std::uint32_t index, random_source& random,
     std::vector<arrival>& arrivals)
 {
-    // A workspace that sends nothing now may do so in a later phase.
+    // Step to the next time at which a workspace with rate zero is checked, as
+    // a later phase may have another rate.
     constexpr double silent_step_s = 0.01;
     const scenario_workspace& workspace = plan.workspaces[index];
     double at = 0.0;
--- a/src/experiment/arrivals.hpp
+++ b/src/experiment/arrivals.hpp
@@ -1,4 +1,4 @@
-// The open-loop arrivals of a scenario, the same for the same seed.
+// The open-loop arrivals of a scenario, which are the same for the same seed.
 #pragma once
 
 #include "experiment/scenario.hpp"
@@ -16,7 +16,7 @@
     std::uint32_t route = 0;
 };
 
-// In order of time.
+// Returns the arrivals in order of time.
 [[nodiscard]] std::vector<arrival> make_arrivals(const scenario& plan);
 
 } // namespace cyclamenhold
--- a/src/experiment/figures.cpp
+++ b/src/experiment/figures.cpp
@@ -12,7 +12,7 @@
 {
 
 constexpr double bin_s = 0.25;
-// A recovery counts when the served share stays up over this many bins.
+// Recovery requires that the served share stays high over this many bins.
 constexpr std::size_t recovery_bins = 8;
 constexpr double recovered_share = 0.95;
 
@@ -29,7 +29,7 @@
     return offered_rate(plan, workspace, record.at_s) <= workspace.rate;
 }
 
-// The calls sent in a time and the succeeded answers among them, a second.
+// Calls sent, and successful ones among them, per second of an interval.
 struct interval_rates
 {
     double offered = 0.0;
@@ -86,7 +86,7 @@
     return bins;
 }
 
-// The share served over the bins from `first`.
+// The share of calls served in `count` bins from `first`.
 double served_share(
     const std::vector<goodput_bin>& bins, std::size_t first, std::size_t count)
 {
@@ -103,8 +103,8 @@
                : static_cast<double>(served) / static_cast<double>(offered);
 }
 
-// Shares of the offered calls are compared, not counts, so that the noise of
-// the arrivals does not decide.
+// The recovery time in seconds, or -1 without recovery. Compares shares of the
+// offered calls and not counts, as random arrivals make counts vary.
 double recovery_time(
     const std::vector<goodput_bin>& bins, const experiment_figures& figures)
 {
@@ -225,7 +225,7 @@
             return cell.bin().upper();
         }
     }
-    // Above the last bin.
+    // The quantile is above the last bin.
     return total > 0.0 ? histogram.axis().value(histogram.axis().size()) : 0.0;
 }
 
@@ -234,7 +234,7 @@
     experiment_figures& figures)
 {
     namespace bh = boost::histogram;
-    // One hundred bins a decade: steps of 2.3%, up to a thousand seconds.
+    // One hundred bins per decade, in steps of 2.3%, from 0.01 ms to 1000 s.
     auto histogram =
         bh::make_histogram(bh::axis::regular<double, bh::axis::transform::log>(
             800, 0.01, 1'000'000.0));
--- a/src/experiment/member_reader.hpp
+++ b/src/experiment/member_reader.hpp
@@ -1,5 +1,5 @@
-// Reads members of JSON objects and collects what is wrong with them, each
-// with its JSON pointer.
+// Reads members of JSON objects and adds a finding with its JSON pointer for
+// each invalid one.
 #pragma once
 
 #include "core/base/findings.hpp"
@@ -15,18 +15,21 @@
 namespace cyclamenhold
 {
 
-// Parses JSON with comments; nullopt and a finding when it is none.
+// Parses JSON with comments and trailing commas. Adds a finding with line and
+// column and returns nullopt if the text is not valid.
 [[nodiscard]] std::optional<boost::json::value>
 parse_json_with_comments(std::string_view text, findings& found);
 
 class member_reader
 {
 public:
-    // A value that is no object gives a finding and reads as an empty one.
+    // If the value is not an object, adds a finding and reads it as an empty
+    // object.
     member_reader(
         const boost::json::value& value, std::string pointer, findings& found);
 
-    // Each returns `fallback` when the member is absent or wrong.
+    // Each returns `fallback`, or an empty value, if the member is absent or
+    // invalid.
     [[nodiscard]] std::string
     text(std::string_view name, std::string fallback = {});
     [[nodiscard]] std::string required_text(std::string_view name);
@@ -35,14 +38,14 @@
     [[nodiscard]] bool flag(std::string_view name, bool fallback);
     [[nodiscard]] std::vector<std::string> texts(std::string_view name);
     [[nodiscard]] std::vector<double> numbers(std::string_view name);
-    // The serialized object, "{}" when it is absent.
+    // The object as JSON text; "{}" if it is absent or invalid.
     [[nodiscard]] std::string object_text(std::string_view name);
     // A reader for each element of an array of objects.
     [[nodiscard]] std::vector<member_reader> objects(std::string_view name);
     [[nodiscard]] std::optional<member_reader> object(std::string_view name);
 
     void add(std::string_view name, std::string message);
-    // Adds a finding for each member that was never read.
+    // Adds a finding for each member that has not been read.
     void reject_unknown();
 
 private:
--- a/src/experiment/plot.cpp
+++ b/src/experiment/plot.cpp
@@ -19,10 +19,10 @@
 constexpr double margin_top = 40.0;
 constexpr double margin_bottom = 64.0;
 constexpr int tick_count = 5;
-// Bins drawn as one point, so that the curves can be read.
+// Bins that are averaged to one point, to smooth the curves.
 constexpr std::size_t bins_per_point = 2;
 
-// By priority class, from critical to low.
+// Indexed by priority class, from critical to low.
 constexpr std::array<const char*, priority_class_count> class_colours{
     "#1b4f72", "#2e86c1", "#85c1e9", "#d6eaf8"};
 
@@ -30,7 +30,7 @@
 {
     double from_s = 0.0;
     double offered = 0.0;
-    // Calls a second by priority class, each added to those before it.
+    // Cumulative calls per second, indexed by priority class.
     std::array<double, priority_class_count> stacked{};
 };
 
@@ -218,7 +218,8 @@
     add_legend(out);
     add_text(
         out, margin_left, 24.0, "start",
-        plan.name + ": whole answers a second by class, by time of sending");
+        plan.name +
+            ": successful calls per second by class, by time of sending");
     out << "</svg>\n";
     return out.str();
 }
--- a/src/experiment/plot.hpp
+++ b/src/experiment/plot.hpp
@@ -1,4 +1,4 @@
-// The time line of an experiment as a picture.
+// The time line of an experiment as an SVG picture.
 #pragma once
 
 #include "experiment/figures.hpp"
@@ -8,12 +8,12 @@
 namespace cyclamenhold
 {
 
-// Goodput by class over time, stacked, with the offered calls as a line and
-// the disturbed time shaded.
+// A stacked chart of goodput by priority class over time, with the offered
+// calls as a line and the time of the disturbance shaded.
 [[nodiscard]] std::string
 to_svg(const scenario& plan, const experiment_figures& figures);
 
-// A page that holds the picture and the table.
+// An HTML page with the picture and the table.
 [[nodiscard]] std::string
 to_html(const scenario& plan, const experiment_figures& figures);
 
--- a/src/experiment/report.cpp
+++ b/src/experiment/report.cpp
@@ -125,7 +125,7 @@
         out, "refused inside the rate",
         static_cast<double>(figures.refused_inside_rate));
     add_line(
-        out, "  of these for their rate",
+        out, "  of these by the rate limit",
         static_cast<double>(figures.rate_refused_inside_rate));
     add_line(out, "attempts per call, deepest", figures.deepest_attempts);
     add_line(out, "latency p50, ms", figures.latency_p50_ms);
--- a/src/experiment/report.hpp
+++ b/src/experiment/report.hpp
@@ -1,4 +1,4 @@
-// Figures of an experiment as a table, JSON, CSV and a plot.
+// Formats the figures of an experiment as a table, JSON or CSV.
 #pragma once
 
 #include "experiment/figures.hpp"
@@ -8,14 +8,14 @@
 namespace cyclamenhold
 {
 
-// Aligned columns for a terminal.
+// A table with aligned columns for a terminal.
 [[nodiscard]] std::string
 to_table(const scenario& plan, const experiment_figures& figures);
 
 [[nodiscard]] std::string
 to_json(const scenario& plan, const experiment_figures& figures);
 
-// One line a bin of the time line.
+// A header line, then one line per bin of the time line.
 [[nodiscard]] std::string to_csv(const experiment_figures& figures);
 
 } // namespace cyclamenhold
--- a/src/experiment/scenario.cpp
+++ b/src/experiment/scenario.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Bounds that keep a mistyped scenario from flooding the machine.
+// Limits against scenarios with a typing error that would overload the machine.
 constexpr double max_duration_s = 600.0;
 constexpr double max_rate = 100'000.0;
 constexpr double max_body_bytes = 64.0 * 1024 * 1024;
@@ -175,7 +175,7 @@
         });
     if (!has_selectable_route)
     {
-        reader.add("routes", "must hold one with a positive weight");
+        reader.add("routes", "must contain a route with a positive weight");
     }
     for (std::size_t index = 0; index < plan.triggers.size(); ++index)
     {
@@ -189,7 +189,8 @@
     check_phases(reader, plan);
 }
 
-// False when the deployment cannot be parsed.
+// Adds the members of the deployment that `value` lacks. Returns false if the
+// deployment is not a JSON object.
 bool merge_defaults(
     boost::json::value& value, std::string_view deployment, findings& found)
 {
--- a/src/experiment/scenario.hpp
+++ b/src/experiment/scenario.hpp
@@ -1,5 +1,5 @@
-// The definition of an experiment: who sends what, when, and which faults are
-// switched meanwhile.
+// The definition of an experiment: which workspaces send which calls at which
+// times, and which faults are injected.
 #pragma once
 
 #include "core/base/findings.hpp"
@@ -16,10 +16,10 @@
 struct scenario_workspace
 {
     std::string name;
-    // Requests a second it may send over the whole fleet, and its burst.
+    // Rate limit over the whole fleet in requests per second, and its burst.
     double rate = 0.0;
     double burst = 0.0;
-    // Requests a second it does send.
+    // Requests per second that it sends.
     double offered = 0.0;
 };
 
@@ -29,41 +29,44 @@
     priority_class priority = priority_class::normal;
     std::string method = "POST";
     std::string path;
-    // How often it is drawn, relative to the other routes.
+    // How often the route is used, relative to the other routes.
     double weight = 1.0;
     std::uint64_t body_bytes = 0;
-    // Zero for an echo of the body.
+    // Size of the reply; zero if the upstream echoes the body.
     std::uint64_t reply_bytes = 0;
     bool never_repeat = false;
 };
 
-// What a caller does when a call fails.
+// The retry policy of callers: at most `attempts` retries, each after about
+// `delay_s`.
 struct scenario_retries
 {
     std::uint32_t attempts = 0;
     double delay_s = 0.05;
 };
 
-// A time in which a workspace, or all, sends a multiple of its usual rate.
+// An interval in which one workspace or all of them send a multiple of their
+// usual rate.
 struct scenario_phase
 {
     double from_s = 0.0;
     double until_s = 0.0;
     double multiplier = 1.0;
-    // Empty for all.
+    // Empty for all workspaces.
     std::string workspace;
 };
 
-// Faults switched on at the upstreams of a service or data centre for a time.
+// An interval in which faults are injected into the upstreams of a service or
+// data centre.
 struct scenario_trigger
 {
     double from_s = 0.0;
     double until_s = 0.0;
-    // "platform" for the platform; empty for all services.
+    // "platform" for the platform instead of a service; empty for all services.
     std::string service;
     // Empty for all data centres.
     std::string data_centre;
-    // JSON objects put to the stand-ins at the start and the end.
+    // JSON objects sent to the stand-ins at the start and at the end.
     std::string on;
     std::string off;
 };
@@ -76,9 +79,10 @@
     std::uint32_t connections = 1'000;
     std::uint32_t queue = 100;
     double service_time_ms = 20.0;
-    // Relative speed of each worker in turn, repeated; empty for equal ones.
+    // Relative speeds, assigned to the workers in turn and repeated; empty for
+    // equal speeds.
     std::vector<double> speeds;
-    // Paths that each request calls.
+    // Paths of the child calls that each request makes.
     std::vector<std::string> calls;
 };
 
@@ -87,18 +91,18 @@
     std::string name;
     std::uint64_t seed = 1;
     double duration_s = 30.0;
-    // Left out of all figures.
+    // Time at the start that rates and latencies leave out.
     double warm_up_s = 2.0;
-    // Poisson arrivals, or evenly spaced ones.
+    // Poisson arrivals if true, evenly spaced ones if false.
     bool poisson = true;
     double timeout_s = 2.0;
     std::uint32_t threads = 2;
-    // For each target and thread.
+    // Connections for each target and thread.
     std::uint32_t connections = 64;
     scenario_retries retries;
     std::vector<std::string> data_centres;
     std::vector<scenario_service> services;
-    // The one whose attempts are counted.
+    // The service whose requests per call are reported.
     std::string deepest_service;
     std::vector<scenario_workspace> workspaces;
     std::vector<scenario_route> routes;
@@ -106,22 +110,23 @@
     std::vector<scenario_trigger> triggers;
 };
 
-// Parses JSON with comments. Members that the scenario does not have are taken
-// from `deployment`, another such object, or empty. All problems are added to
-// `found`, each with its JSON pointer; the result is usable when there are
-// none.
+// Parses JSON with comments. Members missing in `text` are taken from
+// `deployment`, which is an object with the same members or empty. Adds all
+// problems to `found`, each with its JSON pointer; the result is valid only if
+// there are none.
 [[nodiscard]] scenario parse_scenario(
     std::string_view text, std::string_view deployment, findings& found);
 
-// The times from the first change of load or fault to the last.
+// The time from the first change of load or faults to the last.
 struct disturbance
 {
     double from_s = 0.0;
     double until_s = 0.0;
 };
+// An empty interval at the end of the run if there are no phases or triggers.
 [[nodiscard]] disturbance disturbance_of(const scenario& plan);
 
-// The rate at which a workspace sends at a time.
+// The rate at which a workspace sends at a time, in requests per second.
 [[nodiscard]] double offered_rate(
     const scenario& plan, const scenario_workspace& workspace, double at_s);
 
--- a/src/standin/key_value_store.cpp
+++ b/src/standin/key_value_store.cpp
@@ -234,7 +234,8 @@
         reply_to(pending.call, platform_status::unavailable));
 }
 
-// Sends an answer back through the faults that may delay or lose it.
+// Queues the answer to a call, or `unavailable` if a fault loses the answer or
+// delays it past the call's timeout.
 void deliver_reply(
     key_value_store& store, const pending_call& pending, platform_reply reply,
     time_point now)
@@ -255,7 +256,7 @@
     answer_at(store, due, pending.caller, std::move(reply));
 }
 
-// Answers the watches that a change concerns.
+// Answers the watches that match a changed key.
 void notify_watches(key_value_store& store, time_point now)
 {
     for (auto position = store.watches.begin();
@@ -292,8 +293,8 @@
     }
 }
 
-// Ends the watches that have waited long enough, or all when the store is
-// down.
+// Answers the watches whose wait has ended, or all watches with `unavailable`
+// when the store is down.
 void expire_watches(key_value_store& store, time_point now)
 {
     while (!store.watches.empty())
--- a/src/standin/key_value_store.hpp
+++ b/src/standin/key_value_store.hpp
@@ -1,6 +1,6 @@
-// An in-memory stand-in for the platform's key-value service, driven with
-// `now`: versions, compare-and-swap, leases and watches, with faults that can
-// be switched while it runs. Single-threaded.
+// An in-memory stand-in for the platform's key-value service: versions,
+// compare-and-swap, leases and watches, with faults that can be changed while
+// it runs. Time advances only by the `now` that callers pass. Not thread-safe.
 #pragma once
 
 #include "core/base/random.hpp"
@@ -19,26 +19,26 @@
 constexpr std::size_t max_store_value_size = 1'000'000;
 constexpr std::size_t max_store_key_size = 1'024;
 
-// Faults in force. They may be changed between any two calls.
+// The active faults. They may be changed between any two calls.
 struct store_faults
 {
-    // No call takes effect; all are answered `unavailable` after their
-    // timeout, and waiting watches at once.
+    // No call takes effect. Each call is answered `unavailable` after its
+    // timeout, and each pending watch at once.
     bool down = false;
-    // Added to each call: half before it takes effect and half after. A call
-    // whose answer would be later than its timeout is answered `unavailable`
-    // then, and takes effect all the same.
+    // Latency of each call: half before it takes effect and half after. A call
+    // that would be answered after its timeout is answered `unavailable` at
+    // the timeout, but still takes effect.
     duration delay{};
-    // So many of the next writes take effect and are answered `unavailable`.
+    // Number of next writes that take effect but are answered `unavailable`.
     std::uint32_t lose_next_answers = 0;
-    // The same for each write with this probability.
+    // Probability that any other write is treated in this way.
     double lose_answer_probability = 0.0;
-    // Calls above this number in a second are answered `rejected`; zero means
-    // no limit.
+    // Calls in excess of this number per second are answered `rejected`; zero
+    // for no limit.
     std::uint32_t calls_per_second = 0;
 };
 
-// Calls received since the start, also those that were refused.
+// Counters since the start. `by_operation` includes calls that were rejected.
 struct store_counts
 {
     std::array<std::uint64_t, enum_names<platform_operation>::table.size()>
@@ -48,7 +48,7 @@
     std::uint64_t expired_leases = 0;
 };
 
-// Who made a call, as the user of the store numbers its callers.
+// Identifies the caller of a call; assigned by the user of the store.
 using store_caller = std::uint64_t;
 
 struct store_answer
@@ -70,7 +70,7 @@
     time_point expires_at{};
 };
 
-// A call on its way, or a watch that waits.
+// A call that has not taken effect yet, or a watch that waits for a change.
 struct pending_call
 {
     store_caller caller = 0;
@@ -83,46 +83,48 @@
     store_faults faults;
     store_counts counts;
     random_source random{1};
-    // Grows with each write, deletion and lapsed lease.
+    // Increases with each write, each deletion, and each removal of a lease
+    // that has keys.
     std::uint64_t revision = 0;
     std::map<std::string, stored_value> values;
     std::map<std::uint64_t, store_lease> leases;
     std::uint64_t next_lease = 1;
-    // By the time at which they take effect.
+    // Calls by the time at which they take effect.
     std::multimap<time_point, pending_call> in_transit;
-    // By the time at which they give up.
+    // Waiting watches by the time at which their wait ends.
     std::multimap<time_point, pending_call> watches;
-    // By the time at which they are due.
+    // Answers by the time at which they are delivered.
     std::multimap<time_point, store_answer> answers;
     time_point rate_window_start{};
     std::uint32_t calls_in_window = 0;
 };
 
-// Takes a call; its answer comes out of store_poll, at once where nothing
+// Accepts a call. store_poll returns its answer, at the same `now` if no fault
 // delays it.
 void store_call(
     key_value_store& store, store_caller caller, const platform_call& call,
     time_point now);
 
-// Lets time pass and takes the answers that are due, in order.
+// Advances the time to `now` and returns the answers that are due, in order.
 [[nodiscard]] std::vector<store_answer>
 store_poll(key_value_store& store, time_point now);
 
-// When store_poll may have something next.
+// The next time at which store_poll may return an answer or execute a call;
+// time_point::max() if nothing is pending.
 [[nodiscard]] time_point store_due(const key_value_store& store);
 
-// Drops the waiting calls and answers of a caller that has gone. Writes on
-// their way still take effect.
+// Drops the watches, reads and answers of a caller that has disconnected. Its
+// writes in transit still take effect.
 void store_drop_caller(key_value_store& store, store_caller caller);
 
-// Ends a lease before its time, as if its holder had paused.
+// Expires a lease before its time, as if its holder had not renewed it.
 void store_expire_lease(
     key_value_store& store, std::uint64_t lease, time_point now);
 
-// Ends all leases.
+// Expires all leases.
 void store_expire_all_leases(key_value_store& store, time_point now);
 
-// Calls of all kinds since the start.
+// Calls received since the start: all, and those of one operation.
 [[nodiscard]] std::uint64_t store_call_count(const key_value_store& store);
 [[nodiscard]] std::uint64_t
 store_call_count(const key_value_store& store, platform_operation operation);
