--- a/src/experiment/scenario.cpp
+++ b/src/experiment/scenario.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Limits against scenarios with a typing error that would overload the machine.
+// Limits that reject a mistyped scenario before it overloads the machine.
 constexpr double max_duration_s = 600.0;
 constexpr double max_rate = 100'000.0;
 constexpr double max_body_bytes = 64.0 * 1024 * 1024;
--- a/tests/adapters/ctl_node_test.cpp
+++ b/tests/adapters/ctl_node_test.cpp
@@ -27,7 +27,7 @@
 
 const ip_endpoint any_port = *parse_ip_endpoint("127.0.0.1:0");
 
-// A platform on a thread of its own.
+// A stand-in platform on a separate thread.
 class running_platform
 {
 public:
@@ -96,7 +96,8 @@
         return {code, out.str(), errors.str()};
     }
 
-    // Repeats a command that waits for the node to reach the platform.
+    // Repeats a command until it succeeds, which requires that the node has
+    // reached the platform, for at most platform_timeout.
     [[nodiscard]] tool_result
     ctl_until_done(const std::vector<std::string>& words) const
     {
@@ -134,7 +135,7 @@
             unauthorized_console.ctl({"status"}).code, exit_code::refused);
     }
     {
-        SCOPED_TRACE("a workspace is put in force and shown");
+        SCOPED_TRACE("a workspace is applied and shown");
         const auto put = console.ctl_until_done(
             {"workspace", "put", "school", "--rate", "20", "--burst", "40",
              "--yes"});
@@ -144,7 +145,8 @@
         EXPECT_THAT(shown.out, HasSubstr("\"school\"")) << shown.errors;
     }
     {
-        SCOPED_TRACE("of two plans on one revision the second conflicts");
+        SCOPED_TRACE(
+            "the second of two plans with one base revision conflicts");
         const auto plan_of = [&console](const char* name)
         {
             const auto planned = console.ctl(
@@ -162,21 +164,21 @@
         EXPECT_EQ(conflicting.code, exit_code::refused) << conflicting.out;
         EXPECT_THAT(conflicting.errors, HasSubstr("museum"));
         {
-            SCOPED_TRACE("while a repeat of the first is safe");
+            SCOPED_TRACE("confirming the first plan again has the same result");
             const auto repeated = console.ctl({"confirm", first});
             EXPECT_EQ(repeated.code, exit_code::success) << repeated.errors;
             EXPECT_EQ(repeated.out, confirmed.out);
         }
     }
     {
-        SCOPED_TRACE("findings of the node come with their places");
+        SCOPED_TRACE("findings of the node are printed with their places");
         const auto refused = console.ctl(
             {"workspace", "put", "bad", "--rate", "-1", "--burst", "1"});
         EXPECT_EQ(refused.code, exit_code::refused);
         EXPECT_THAT(refused.errors, HasSubstr("/operations/0/rate"));
     }
     {
-        SCOPED_TRACE("the time line has the node's events");
+        SCOPED_TRACE("the time line contains the node's events");
         std::ostringstream out;
         std::ostringstream errors;
         EXPECT_EQ(
@@ -188,7 +190,7 @@
         EXPECT_THAT(out.str(), HasSubstr("configuration-applied"));
     }
     {
-        SCOPED_TRACE("drain asks for the planned stop, which cuts nothing");
+        SCOPED_TRACE("drain requests a graceful stop, which aborts no request");
         EXPECT_EQ(console.ctl({"drain"}).code, exit_code::success);
         EXPECT_TRUE(stop_requested(**node));
         const std::atomic<bool> abort_requests{false};
--- a/tests/adapters/ctl_test.cpp
+++ b/tests/adapters/ctl_test.cpp
@@ -47,7 +47,7 @@
     return path;
 }
 
-// A node that plans anything and confirms the one plan it knows.
+// A node that returns the same plan for any intent and confirms only this plan.
 fake_reply confirming_node(const fake_request& request)
 {
     if (request.target == "/v1/intents")
@@ -98,19 +98,19 @@
                                        {"burst", 40.0}}));
     }
     {
-        SCOPED_TRACE("the plan is confirmed by its text");
+        SCOPED_TRACE("a plan given as text is confirmed");
         const auto confirmed = run({"confirm", "T0KEN"}, node.endpoint());
         EXPECT_EQ(confirmed.code, exit_code::success) << confirmed.errors;
         EXPECT_THAT(confirmed.out, HasSubstr("revision 5"));
     }
     {
-        SCOPED_TRACE("or by a file with the plan's answer");
+        SCOPED_TRACE("a plan in a file with the node's reply is confirmed");
         const auto confirmed =
             run({"confirm", file_with("plan", plan_reply)}, node.endpoint());
         EXPECT_EQ(confirmed.code, exit_code::success) << confirmed.errors;
     }
     {
-        SCOPED_TRACE("--yes does both");
+        SCOPED_TRACE("--yes plans and confirms");
         const auto both =
             run({"workspace", "remove", "school", "--yes"}, node.endpoint());
         EXPECT_EQ(both.code, exit_code::success) << both.errors;
@@ -146,7 +146,7 @@
                 {"deadline_ms", 800}}));
     }
     {
-        SCOPED_TRACE("a file of operations is sent as it is");
+        SCOPED_TRACE("a file of operations is sent unchanged");
         const std::string text = R"({"operations": []})";
         EXPECT_EQ(
             run({"plan", file_with("intent", text)}, node.endpoint()).code,
@@ -154,7 +154,7 @@
         EXPECT_EQ(node.requests().back().body, text);
     }
     {
-        SCOPED_TRACE("a data centre and a withdrawn key");
+        SCOPED_TRACE("a data centre is put and a key is withdrawn");
         EXPECT_EQ(
             run({"data-centre", "put", "brno", "--region", "moravia"},
                 node.endpoint())
@@ -190,12 +190,12 @@
         added.out.substr(position, added.out.find('"', position) - position);
     const fake_request request = node.requests().front();
     {
-        SCOPED_TRACE("the node sees the digest and never the secret");
+        SCOPED_TRACE("the request contains the digest and not the secret");
         EXPECT_THAT(
             request.body, Not(HasSubstr(key.substr(sizeof("cyk_k1_") - 1))));
     }
     {
-        SCOPED_TRACE("the printed key is the one with that digest");
+        SCOPED_TRACE("the digest is that of the printed key");
         const auto digest =
             digest_of_secret(fleet_secret, key.substr(sizeof("cyk_k1_") - 1));
         std::ostringstream text;
@@ -212,7 +212,8 @@
                                        {"digest", text.str()}}));
     }
     {
-        SCOPED_TRACE("an id with an underscore could not be told apart");
+        SCOPED_TRACE(
+            "an id with an underscore is rejected, as its end is ambiguous");
         EXPECT_EQ(
             run({"key", "add", "k_1", "--workspace", "school",
                  "--fleet-secret-file", secret_file},
@@ -241,7 +242,7 @@
         EXPECT_THAT(refused.errors, HasSubstr("must be ?positive"));
     }
     {
-        SCOPED_TRACE("a conflict names the other change");
+        SCOPED_TRACE("a conflict shows the changes of the other plan");
         fake_operators_api node(
             [](const fake_request&)
             {
@@ -255,7 +256,7 @@
         EXPECT_THAT(refused.errors, HasSubstr("+ workspace museum"));
     }
     {
-        SCOPED_TRACE("an unknown outcome is said to be unknown");
+        SCOPED_TRACE("an unavailable platform leaves the outcome unknown");
         fake_operators_api node(
             [](const fake_request&)
             {
@@ -266,7 +267,7 @@
         EXPECT_THAT(unknown.errors, HasSubstr("not known"));
     }
     {
-        SCOPED_TRACE("so is one whose answer was lost");
+        SCOPED_TRACE("a lost reply leaves the outcome unknown");
         fake_operators_api node(
             [](const fake_request&)
             {
@@ -277,7 +278,7 @@
         EXPECT_THAT(unknown.errors, HasSubstr("not known"));
     }
     {
-        SCOPED_TRACE("a node that is not there");
+        SCOPED_TRACE("a node that does not run cannot be reached");
         std::string endpoint;
         {
             endpoint = fake_operators_api(confirming_node).endpoint();
--- a/tests/adapters/examples_test.cpp
+++ b/tests/adapters/examples_test.cpp
@@ -23,6 +23,7 @@
     std::size_t workspace_count;
 };
 
+// Guards against examples that the node or the operators' API would reject.
 TEST(examples, are_valid_for_both_deployments)
 {
     for (const auto& [name, node_count, data_centre_count, workspace_count] :
@@ -50,12 +51,13 @@
             ++nodes;
         }
         {
-            SCOPED_TRACE("have a node for each worker");
+            SCOPED_TRACE("there is a node for each worker");
             EXPECT_EQ(nodes, node_count);
             EXPECT_EQ(data_centres.size(), data_centre_count);
         }
         {
-            SCOPED_TRACE("and operations that fit an empty configuration");
+            SCOPED_TRACE(
+                "the operations can be applied to an empty configuration");
             const auto text = read_file(folder / "intent.json");
             ASSERT_TRUE(text.ok());
             const auto [operations, found] = parse_operations(*text);
--- a/tests/adapters/load_test.cpp
+++ b/tests/adapters/load_test.cpp
@@ -21,7 +21,7 @@
 const auto any_port =
     boost::asio::ip::tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0);
 
-// An upstream that runs on a thread of its own.
+// A stand-in upstream on a separate thread.
 struct running_upstream
 {
     running_upstream()
@@ -74,6 +74,8 @@
     return plan;
 }
 
+// Guards against sending load or faults to another machine because of a wrong
+// address in the file.
 TEST(load_fleet, accepts_only_loopback_addresses)
 {
     findings found;
@@ -91,6 +93,9 @@
     }
 }
 
+// Sends a scenario to a real upstream that sheds all requests for 0.3 s. Guards
+// against lost records, retries of calls that must not run twice, and counters
+// that differ from the calls sent.
 TEST(load, sends_calls_and_switches_faults)
 {
     running_upstream upstream;
@@ -115,7 +120,8 @@
         succeeded += record.succeeded;
         attempts += record.attempts;
         EXPECT_TRUE(record.succeeded || record.status == 503) << record.status;
-        // Without a word that it was not run, it is not sent again.
+        // The upstream does not state that a call has not run, so a
+        // never_repeat call is not retried.
         const bool once = plan.routes[record.route].never_repeat;
         EXPECT_TRUE(!once || record.attempts == 1);
     }
--- a/tests/adapters/trace_test.cpp
+++ b/tests/adapters/trace_test.cpp
@@ -36,7 +36,8 @@
     return {code, out.str(), errors.str()};
 }
 
-// A node with one event each of the given milliseconds after the start.
+// A node with an event at each given number of milliseconds after start_ms. It
+// keeps the last two events and returns one per page.
 struct fake_node
 {
     std::string name;
@@ -94,7 +95,8 @@
             return first.answer(request, member);
         });
     {
-        SCOPED_TRACE("events of a node that the first one knows are merged");
+        SCOPED_TRACE(
+            "events of a member in the first node's status are merged");
         const auto [code, out, errors] = run(
             {"--node", first_api.endpoint(), "--trace", to_string(some_trace)});
         EXPECT_EQ(code, exit_code::success) << errors;
@@ -112,7 +114,7 @@
         EXPECT_THAT(errors, HasSubstr("has overwritten 1 older events"));
     }
     {
-        SCOPED_TRACE("unless only the given ones are wanted");
+        SCOPED_TRACE("--no-discover reads only the given nodes");
         const auto [code, out, errors] =
             run({"--node", first_api.endpoint(), "--no-discover", "--json"});
         EXPECT_EQ(code, exit_code::success) << errors;
@@ -121,7 +123,7 @@
         EXPECT_EQ(value.at("nodes").as_array().size(), 1U);
     }
     {
-        SCOPED_TRACE("an interval keeps what is inside");
+        SCOPED_TRACE("--since and --until select the events of an interval");
         const auto [code, out, errors] = run(
             {"--node", first_api.endpoint() + ',' + second_api.endpoint(),
              "--since", "2023-11-14T22:13:20.007Z", "--until",
@@ -159,7 +161,7 @@
                      .endpoint();
     }
     {
-        SCOPED_TRACE("are named beside what the others have");
+        SCOPED_TRACE("they are reported next to the events of the others");
         const auto [code, out, errors] = run(
             {"--node", first_api.endpoint(), "--node", broken_api.endpoint(),
              "--node", forbidding_api.endpoint(), "--node", absent});
@@ -175,7 +177,7 @@
         EXPECT_THAT(errors, HasSubstr("missing: " + absent));
     }
     {
-        SCOPED_TRACE("and without any answer the exit status says so");
+        SCOPED_TRACE("the exit status is different if no node answers");
         EXPECT_EQ(run({"--node", absent}).code, exit_code::not_reached);
     }
 }
--- a/tests/core/experiment_test.cpp
+++ b/tests/core/experiment_test.cpp
@@ -37,6 +37,8 @@
     return plan;
 }
 
+// Each invalid member has a finding with its JSON pointer, so that one check of
+// a file shows all mistakes.
 TEST(scenario, reports_all_problems)
 {
     findings found;
@@ -74,6 +76,8 @@
     EXPECT_EQ(plan.data_centres, std::vector<std::string>{"a"});
 }
 
+// Guards against a change of the format that the scenario files of the
+// repository do not follow.
 TEST(scenario, parses_the_files_of_both_deployments)
 {
     const auto read = [](const std::string& path)
@@ -147,8 +151,8 @@
     EXPECT_EQ(max_min_shares(demands, 1000.0), demands);
 }
 
-// All are served but for the disturbance and two seconds after it, in which
-// the large workspace gets half and the small planned a quarter.
+// All calls succeed, except during the disturbance and for 2 s after it: then
+// half of the large workspace's calls and a quarter of the small one's succeed.
 std::vector<sent_call> partly_served_run(const scenario& plan)
 {
     std::vector<sent_call> records;
@@ -182,7 +186,8 @@
     EXPECT_NEAR(figures.goodput_during, 45.0, 1.0);
     EXPECT_NEAR(figures.recovery_s, 2.0, 0.3);
     EXPECT_EQ(figures.deepest_attempts, 2.0);
-    // 45 a second are shared: the small planned could have had all of its 20.
+    // Of 45 successful calls per second, the fair share of the small workspace
+    // is all of its 20; it has 5.
     EXPECT_EQ(figures.worst_workspace, "small");
     EXPECT_NEAR(figures.worst_served, 0.25, 0.02);
     EXPECT_NEAR(figures.latency_p50_ms, 10.0, 0.5);
@@ -190,7 +195,7 @@
         static_cast<double>(figures.refused_inside_rate), 12 * 55.0, 10.0);
     EXPECT_EQ(figures.rate_refused_inside_rate, 0U);
     {
-        SCOPED_TRACE("answers later than ten seconds have a latency");
+        SCOPED_TRACE("latencies above 10 s are recorded");
         auto late = records;
         for (sent_call& record : late)
         {
@@ -200,14 +205,14 @@
         EXPECT_NEAR(slow.latency_p99_ms, 20'000.0, 600.0);
     }
     {
-        SCOPED_TRACE("what a workspace gets above its rate is left out");
+        SCOPED_TRACE("goodput above a workspace's rate is left out");
         auto small_rates = plan;
         small_rates.workspaces[0].rate = 10.0;
         const auto capped = compute_figures(small_rates, records, {});
         EXPECT_NEAR(capped.goodput_inside_rate, 15.0, 1.0);
     }
     {
-        SCOPED_TRACE("a run that never recovers says so");
+        SCOPED_TRACE("a run without recovery has a negative recovery time");
         auto never = records;
         for (sent_call& record : never)
         {
@@ -221,7 +226,7 @@
         EXPECT_LT(compute_figures(plan, never, {}).recovery_s, 0.0);
     }
     {
-        SCOPED_TRACE("reports hold the same figures");
+        SCOPED_TRACE("the reports contain the same figures");
         const auto json = boost::json::parse(to_json(plan, figures));
         EXPECT_EQ(
             json.at("goodput_during").as_double(), figures.goodput_during);
