--- a/src/apps/cyclamen-ctl/ctl.cpp
+++ b/src/apps/cyclamen-ctl/ctl.cpp
@@ -23,7 +23,7 @@
 constexpr unsigned http_accepted = 202;
 constexpr unsigned http_unavailable = 503;
 
-// What all steps of one command share.
+// The context of one command.
 struct ctl_session
 {
     const ctl_arguments& arguments;
@@ -37,8 +37,8 @@
     return reply.status == http_ok || reply.status == http_accepted;
 }
 
-// Prints a list of findings or changes below a message, as far as the reply
-// holds them.
+// Prints the message of a reply, then its findings or changes; each is left out
+// if the reply does not contain it.
 void print_refusal(std::ostream& errors, const operators_reply& reply)
 {
     const auto object = parse_object(reply.body);
@@ -73,7 +73,7 @@
 }
 
 absl::StatusOr<operators_reply>
-ask(const ctl_session& session, const operators_request& request)
+send_request(const ctl_session& session, const operators_request& request)
 {
     return call_node(session.arguments.node, request, session.access);
 }
@@ -84,11 +84,12 @@
     return exit_code::not_reached;
 }
 
-// Asks and prints the answer as it is or as an outline.
+// Sends a request and prints the reply, unchanged with --json and otherwise as
+// an outline.
 exit_code
 print_answer(const ctl_session& session, const operators_request& request)
 {
-    const auto reply = ask(session, request);
+    const auto reply = send_request(session, request);
     if (!reply.ok())
     {
         return not_reached(session, reply.status());
@@ -110,8 +111,8 @@
 exit_code confirm_plan(const ctl_session& session, const std::string& plan)
 {
     const json::object body{{"plan", plan}};
-    const auto reply =
-        ask(session, {"POST", "/v1/plans/confirm", json::serialize(body)});
+    const auto reply = send_request(
+        session, {"POST", "/v1/plans/confirm", json::serialize(body)});
     const bool unknown = !reply.ok() || reply->status == http_unavailable;
     if (unknown)
     {
@@ -171,7 +172,7 @@
 // Plans an intent and, with --yes, confirms the plan.
 exit_code plan_intent(const ctl_session& session, const std::string& intent)
 {
-    const auto reply = ask(session, {"POST", "/v1/intents", intent});
+    const auto reply = send_request(session, {"POST", "/v1/intents", intent});
     if (!reply.ok())
     {
         return not_reached(session, reply.status());
@@ -184,7 +185,7 @@
     const std::string plan = object ? text_of(*object, "plan") : "";
     if (plan.empty())
     {
-        session.errors << "the node's answer holds no plan\n";
+        session.errors << "the node's reply contains no plan\n";
         return exit_code::refused;
     }
     if (!session.arguments.json)
@@ -210,7 +211,8 @@
     return plan_intent(session, *text);
 }
 
-// A plan itself, or a file that holds one or the answer with one in it.
+// Reads a plan. `subject` is the plan itself, or the path of a file with the
+// plan or with the node's JSON reply.
 std::string read_plan(const std::string& subject)
 {
     if (!std::ifstream(subject))
@@ -240,28 +242,30 @@
         session.errors << to_string(found);
         return exit_code::bad_usage;
     }
-    const auto made =
+    const auto created =
         make_key(arguments.subject, arguments.key_workspace, secret);
-    if (!made.ok())
+    if (!created.ok())
     {
-        session.errors << made.status().message() << '\n';
+        session.errors << created.status().message() << '\n';
         return exit_code::bad_usage;
     }
     const exit_code result =
-        plan_intent(session, intent_of(arguments, made->entry));
+        plan_intent(session, intent_of(arguments, created->entry));
     if (result == exit_code::refused)
     {
         return result;
     }
-    // A key whose plan may be in force must not be lost with the answer.
+    // If the outcome is unknown, the plan may have been applied. The key cannot
+    // be retrieved later, so it is printed in this case as well.
     if (arguments.json)
     {
-        session.out << json::serialize(json::object{{"key", made->key}})
+        session.out << json::serialize(json::object{{"key", created->key}})
                     << '\n';
     }
     else
     {
-        session.out << "The key, shown this once: " << made->key << '\n';
+        session.out << "The key, which cannot be shown again: " << created->key
+                    << '\n';
     }
     return result;
 }
--- a/src/apps/cyclamen-load/command_line.cpp
+++ b/src/apps/cyclamen-load/command_line.cpp
@@ -22,20 +22,21 @@
         return cxxopts::value<double>()->default_value(value);
     };
     options.add_options()("scenario", "Scenario file", text())(
-        "deployment", "File with members that the scenario leaves out",
-        text())("fleet", "File that names the running processes", text())(
-        "check", "Check the files and send nothing")(
+        "deployment", "File with defaults for members that the scenario lacks",
+        text())(
+        "fleet", "File with the endpoints of the running processes",
+        text())("check", "Check the files and send nothing")(
         "json", "Print JSON instead of a table")(
         "json-file", "Write the figures as JSON",
         text())("csv", "Write the time line as CSV", text())(
-        "svg", "Write the time line as a picture",
+        "svg", "Write the time line as an SVG picture",
         text())("html", "Write a page with picture and table", text())(
-        "compare-direct", "Compare latencies: the upstream's endpoint",
-        text())("compare-through", "and the node's endpoint", text())(
+        "compare-direct", "Compare latencies: the upstream's endpoint", text())(
+        "compare-through", "Compare latencies: the node's endpoint", text())(
         "target", "Path of the compared calls",
         cxxopts::value<std::string>()->default_value("/"))(
         "key", "Key of the compared calls",
-        text())("rate", "Compared calls a second", real("1000"))(
+        text())("rate", "Compared calls per second", real("1000"))(
         "seconds", "Length of the comparison",
         real("10"))("help", "Print this help")("version", "Print the version");
     options.parse_positional("scenario");
@@ -63,7 +64,7 @@
     return *text;
 }
 
-// Puts the file's name before the places inside it.
+// Adds the findings of a file, each with the file's path before its place.
 void add_from_file(
     const std::string& path, const findings& inside, findings& found)
 {
@@ -134,13 +135,13 @@
     settings.key = arguments["key"].as<std::string>();
     settings.rate = arguments["rate"].as<double>();
     settings.duration_s = arguments["seconds"].as<double>();
-    constexpr double highest_rate = 100'000.0;
-    constexpr double longest_s = 600.0;
-    if (!(settings.rate > 0.0 && settings.rate <= highest_rate))
+    constexpr double max_rate = 100'000.0;
+    constexpr double max_duration_s = 600.0;
+    if (!(settings.rate > 0.0 && settings.rate <= max_rate))
     {
         add_finding(command.found, "--rate", "must be in (0, 100000]");
     }
-    if (!(settings.duration_s > 0.0 && settings.duration_s <= longest_s))
+    if (!(settings.duration_s > 0.0 && settings.duration_s <= max_duration_s))
     {
         add_finding(command.found, "--seconds", "must be in (0, 600]");
     }
--- a/src/apps/cyclamen-load/main.cpp
+++ b/src/apps/cyclamen-load/main.cpp
@@ -18,7 +18,7 @@
 
 constexpr int exit_failure = 1;
 constexpr int exit_bad_input = 2;
-// Lets all threads be ready before the first call.
+// Time for all threads to start before the first call.
 constexpr auto start_delay = 200ms;
 
 bool write_file(const std::string& path, const std::string& text)
@@ -52,7 +52,7 @@
         send_calls(command.plan, command.processes, arrivals, start);
     triggers.join();
     const auto after = read_service_counts(command.processes);
-    return work_out_figures(
+    return compute_figures(
         command.plan, records, counts_between(before, after));
 }
 
--- a/src/apps/cyclamen-node/main.cpp
+++ b/src/apps/cyclamen-node/main.cpp
@@ -1,4 +1,4 @@
-// cyclamen-node: the process beside each upstream.
+// The command line of cyclamen-node, the process beside each upstream.
 #include "adapters/node_runtime.hpp"
 #include "adapters/secrets.hpp"
 #include "platform/protocol_profile.hpp"
@@ -19,20 +19,20 @@
 constexpr int exit_ok = 0;
 constexpr int exit_failed = 1;
 constexpr int exit_bad_settings = 2;
-// Some requests were unfinished when the stop took too long.
-constexpr int exit_cut = 3;
+// Requests in flight were aborted because the stop took too long.
+constexpr int exit_requests_aborted = 3;
 
-std::atomic<int> signals_seen{0};
-std::atomic<bool> reload_asked{false};
+std::atomic<int> stop_signals{0};
+std::atomic<bool> reload_requested{false};
 
-void on_signal(int /*number*/)
+void on_stop_signal(int /*number*/)
 {
-    ++signals_seen;
+    ++stop_signals;
 }
 
 void on_reload_signal(int /*number*/)
 {
-    reload_asked = true;
+    reload_requested = true;
 }
 
 cxxopts::Options make_options()
@@ -41,7 +41,8 @@
     options.add_options()("help", "show this text")(
         "version", "show the version")(
         "settings", "the settings file", cxxopts::value<std::string>())(
-        "settings-variable", "the environment variable that names it",
+        "settings-variable",
+        "the environment variable with the path of that file",
         cxxopts::value<std::string>())("check", "check the settings and exit");
     return options;
 }
@@ -56,41 +57,42 @@
     std::cout << boost::json::serialize(line) << std::endl;
 }
 
-// Between two looks at what signals and operators ask for.
+// Between two checks for signals and operators' stop requests.
 constexpr auto request_poll_interval = std::chrono::milliseconds(100);
 
-// Waits for a signal or an operator's request, then stops.
+// Runs until a stop signal or an operator's stop request, then stops the node
+// and returns the exit code. A reload signal reads the settings again.
 int run_until_stopped(node_runtime& node, const std::string& path)
 {
-    while (signals_seen == 0 && !stop_requested(node))
+    while (stop_signals == 0 && !stop_requested(node))
     {
         std::this_thread::sleep_for(request_poll_interval);
-        if (reload_asked.exchange(false))
+        if (reload_requested.exchange(false))
         {
             reload_node(node, load_settings(path));
         }
     }
-    const int before = signals_seen;
-    std::atomic<bool> stop_now{false};
+    const int before = stop_signals;
+    std::atomic<bool> abort_requests{false};
     std::atomic<bool> stopped{false};
-    // A second signal ends the wait.
-    std::thread watcher(
+    // A second signal ends the wait for requests in flight.
+    std::thread signal_watcher(
         [&]
         {
-            while (!stopped && signals_seen <= std::max(before, 1))
+            while (!stopped && stop_signals <= std::max(before, 1))
             {
                 std::this_thread::sleep_for(std::chrono::milliseconds(20));
             }
-            stop_now = true;
+            abort_requests = true;
         });
-    const stop_report report = stop_node(node, stop_now);
+    const stop_report report = stop_node(node, abort_requests);
     stopped = true;
-    watcher.join();
+    signal_watcher.join();
     if (report.unfinished > 0)
     {
         std::cerr << "stopped with " << report.unfinished
-                  << " requests under way\n";
-        return exit_cut;
+                  << " requests in flight\n";
+        return exit_requests_aborted;
     }
     return exit_ok;
 }
@@ -130,7 +132,7 @@
     }
     if (arguments.count("check") > 0)
     {
-        std::cout << "the settings are sound\n";
+        std::cout << "the settings are valid\n";
         return exit_ok;
     }
     json_log log;
@@ -151,8 +153,8 @@
     print_ports(ports_of(**node));
     const int code = run_until_stopped(**node, settings_path(arguments));
     write_log(log, log_level::info, "process-ending", {{"code", code}});
-    // Nothing is left to save, and waiting for the threads of libraries would
-    // keep the platform from starting the next process.
+    // All state has been saved. Joining the threads of libraries would delay
+    // the start of the next process by the platform.
     std::cout.flush();
     std::quick_exit(code);
 }
@@ -161,8 +163,8 @@
 
 int main(int argc, char** argv)
 {
-    std::signal(SIGTERM, on_signal);
-    std::signal(SIGINT, on_signal);
+    std::signal(SIGTERM, on_stop_signal);
+    std::signal(SIGINT, on_stop_signal);
     std::signal(SIGHUP, on_reload_signal);
     std::signal(SIGPIPE, SIG_IGN);
     auto options = make_options();
@@ -181,8 +183,8 @@
         }
         if (settings_path(arguments).empty())
         {
-            std::cerr << "--settings FILE is needed, or --settings-variable "
-                         "with a variable that names it\n";
+            std::cerr << "--settings FILE is required, or --settings-variable "
+                         "NAME of a variable with the path of that file\n";
             return exit_bad_settings;
         }
         return run(arguments);
--- a/src/experiment/figures.cpp
+++ b/src/experiment/figures.cpp
@@ -12,7 +12,7 @@
 {
 
 constexpr double bin_s = 0.25;
-// A recovery counts when the served share stays up over this many bins.
+// Recovery requires that the served share stays high over this many bins.
 constexpr std::size_t recovery_bins = 8;
 constexpr double recovered_share = 0.95;
 
@@ -29,7 +29,7 @@
     return offered_rate(plan, workspace, record.at_s) <= workspace.rate;
 }
 
-// The calls sent in a time and the whole answers among them, a second.
+// Calls sent, and successful ones among them, per second of an interval.
 struct interval_rates
 {
     double offered = 0.0;
@@ -49,7 +49,7 @@
         if (record.at_s >= from_s && record.at_s < until_s)
         {
             rates.offered += 1.0;
-            rates.served += record.whole ? 1.0 : 0.0;
+            rates.served += record.succeeded ? 1.0 : 0.0;
         }
     }
     rates.offered /= until_s - from_s;
@@ -76,7 +76,7 @@
             continue;
         }
         ++bins[index].offered;
-        if (record.whole)
+        if (record.succeeded)
         {
             ++bins[index].served;
             const auto priority = plan.routes[record.route].priority;
@@ -86,7 +86,7 @@
     return bins;
 }
 
-// The share served over the bins from `first`.
+// The share of calls served in `count` bins from `first`.
 double served_share(
     const std::vector<goodput_bin>& bins, std::size_t first, std::size_t count)
 {
@@ -103,8 +103,8 @@
                : static_cast<double>(served) / static_cast<double>(offered);
 }
 
-// Shares of the offered calls are compared, not counts, so that the noise of
-// the arrivals does not decide.
+// The recovery time in seconds, or -1 without recovery. Compares shares of the
+// offered calls and not counts, as random arrivals make counts vary.
 double recovery_time(
     const std::vector<goodput_bin>& bins, const experiment_figures& figures)
 {
@@ -119,10 +119,10 @@
     auto index = static_cast<std::size_t>(std::ceil(until_s / bin_s));
     for (; index + recovery_bins <= bins.size(); ++index)
     {
-        const bool bin_is_up =
+        const bool has_bin_recovered =
             served_share(bins, index, 1) >= recovered_share * before;
-        if (bin_is_up && served_share(bins, index, recovery_bins) >=
-                             recovered_share * before)
+        if (has_bin_recovered && served_share(bins, index, recovery_bins) >=
+                                     recovered_share * before)
         {
             return std::max(0.0, bins[index].from_s - until_s);
         }
@@ -146,7 +146,7 @@
         if (record.at_s >= from_s && record.at_s < until_s)
         {
             workspace.offered += 1.0 / length;
-            workspace.served += record.whole ? 1.0 / length : 0.0;
+            workspace.served += record.succeeded ? 1.0 / length : 0.0;
         }
         if (is_refusal(record) && is_inside_rate(plan, record))
         {
@@ -208,7 +208,7 @@
         const auto priority = plan.routes[record.route].priority;
         auto& entry = figures.classes[static_cast<std::size_t>(priority)];
         ++entry.offered;
-        entry.served += record.whole;
+        entry.served += record.succeeded;
     }
 }
 
@@ -216,16 +216,16 @@
 double quantile(const Histogram& histogram, double share)
 {
     const double total = boost::histogram::algorithm::sum(histogram);
-    double seen = 0.0;
+    double cumulative = 0.0;
     for (auto&& cell : boost::histogram::indexed(histogram))
     {
-        seen += *cell;
-        if (total > 0.0 && seen >= share * total)
+        cumulative += *cell;
+        if (total > 0.0 && cumulative >= share * total)
         {
             return cell.bin().upper();
         }
     }
-    // Above the last bin.
+    // The quantile is above the last bin.
     return total > 0.0 ? histogram.axis().value(histogram.axis().size()) : 0.0;
 }
 
@@ -234,13 +234,13 @@
     experiment_figures& figures)
 {
     namespace bh = boost::histogram;
-    // One hundred bins a decade: steps of 2.3%, up to a thousand seconds.
+    // One hundred bins per decade, in steps of 2.3%, from 0.01 ms to 1000 s.
     auto histogram =
         bh::make_histogram(bh::axis::regular<double, bh::axis::transform::log>(
             800, 0.01, 1'000'000.0));
     for (const sent_call& record : records)
     {
-        if (record.whole && record.at_s >= plan.warm_up_s)
+        if (record.succeeded && record.at_s >= plan.warm_up_s)
         {
             histogram((record.done_s - record.at_s) * 1000.0);
         }
@@ -286,7 +286,7 @@
     return shares;
 }
 
-experiment_figures work_out_figures(
+experiment_figures compute_figures(
     const scenario& plan, const record_list& records,
     const std::vector<service_counts>& services)
 {
--- a/tests/adapters/ctl_node_test.cpp
+++ b/tests/adapters/ctl_node_test.cpp
@@ -23,11 +23,11 @@
 using testing::HasSubstr;
 
 constexpr const char* credential = "operators-only-123";
-constexpr auto patience = std::chrono::seconds(20);
+constexpr auto platform_timeout = std::chrono::seconds(20);
 
 const ip_endpoint any_port = *parse_ip_endpoint("127.0.0.1:0");
 
-// A platform on a thread of its own.
+// A stand-in platform on a separate thread.
 class running_platform
 {
 public:
@@ -96,11 +96,13 @@
         return {code, out.str(), errors.str()};
     }
 
-    // Repeats a command that waits for the node to reach the platform.
+    // Repeats a command until it succeeds, which requires that the node has
+    // reached the platform, for at most platform_timeout.
     [[nodiscard]] tool_result
     ctl_until_done(const std::vector<std::string>& words) const
     {
-        const auto deadline = std::chrono::steady_clock::now() + patience;
+        const auto deadline =
+            std::chrono::steady_clock::now() + platform_timeout;
         tool_result result = ctl(words);
         while (result.code != exit_code::success &&
                std::chrono::steady_clock::now() < deadline)
@@ -111,7 +113,7 @@
     }
 };
 
-TEST(ctl_node, the_way_of_a_change)
+TEST(ctl_node, applies_changes_and_drains)
 {
     running_platform platform;
     auto node = start_node(
@@ -128,11 +130,12 @@
         const std::string wrong_file =
             testing::TempDir() + "cyclamen_ctl_node_wrong";
         std::ofstream(wrong_file) << "not-the-credential";
-        const operator_console stranger{console.node, wrong_file};
-        EXPECT_EQ(stranger.ctl({"status"}).code, exit_code::refused);
+        const operator_console unauthorized_console{console.node, wrong_file};
+        EXPECT_EQ(
+            unauthorized_console.ctl({"status"}).code, exit_code::refused);
     }
     {
-        SCOPED_TRACE("a workspace is put in force and shown");
+        SCOPED_TRACE("a workspace is applied and shown");
         const auto put = console.ctl_until_done(
             {"workspace", "put", "school", "--rate", "20", "--burst", "40",
              "--yes"});
@@ -142,7 +145,8 @@
         EXPECT_THAT(shown.out, HasSubstr("\"school\"")) << shown.errors;
     }
     {
-        SCOPED_TRACE("of two plans on one revision the second conflicts");
+        SCOPED_TRACE(
+            "the second of two plans with one base revision conflicts");
         const auto plan_of = [&console](const char* name)
         {
             const auto planned = console.ctl(
@@ -154,27 +158,27 @@
         };
         const std::string first = plan_of("museum");
         const std::string second = plan_of("museum");
-        const auto won = console.ctl({"confirm", first});
-        EXPECT_EQ(won.code, exit_code::success) << won.errors;
-        const auto lost = console.ctl({"confirm", second});
-        EXPECT_EQ(lost.code, exit_code::refused) << lost.out;
-        EXPECT_THAT(lost.errors, HasSubstr("museum"));
+        const auto confirmed = console.ctl({"confirm", first});
+        EXPECT_EQ(confirmed.code, exit_code::success) << confirmed.errors;
+        const auto conflicting = console.ctl({"confirm", second});
+        EXPECT_EQ(conflicting.code, exit_code::refused) << conflicting.out;
+        EXPECT_THAT(conflicting.errors, HasSubstr("museum"));
         {
-            SCOPED_TRACE("while a repeat of the first is safe");
-            const auto again = console.ctl({"confirm", first});
-            EXPECT_EQ(again.code, exit_code::success) << again.errors;
-            EXPECT_EQ(again.out, won.out);
+            SCOPED_TRACE("confirming the first plan again has the same result");
+            const auto repeated = console.ctl({"confirm", first});
+            EXPECT_EQ(repeated.code, exit_code::success) << repeated.errors;
+            EXPECT_EQ(repeated.out, confirmed.out);
         }
     }
     {
-        SCOPED_TRACE("findings of the node come with their places");
+        SCOPED_TRACE("findings of the node are printed with their places");
         const auto refused = console.ctl(
             {"workspace", "put", "bad", "--rate", "-1", "--burst", "1"});
         EXPECT_EQ(refused.code, exit_code::refused);
         EXPECT_THAT(refused.errors, HasSubstr("/operations/0/rate"));
     }
     {
-        SCOPED_TRACE("the time line has the node's events");
+        SCOPED_TRACE("the time line contains the node's events");
         std::ostringstream out;
         std::ostringstream errors;
         EXPECT_EQ(
@@ -186,11 +190,11 @@
         EXPECT_THAT(out.str(), HasSubstr("configuration-applied"));
     }
     {
-        SCOPED_TRACE("drain asks for the planned stop, which cuts nothing");
+        SCOPED_TRACE("drain requests a graceful stop, which aborts no request");
         EXPECT_EQ(console.ctl({"drain"}).code, exit_code::success);
         EXPECT_TRUE(stop_requested(**node));
-        const std::atomic<bool> stop_now{false};
-        EXPECT_EQ(stop_node(**node, stop_now).unfinished, 0U);
+        const std::atomic<bool> abort_requests{false};
+        EXPECT_EQ(stop_node(**node, abort_requests).unfinished, 0U);
     }
 }
 
--- a/tests/adapters/ctl_test.cpp
+++ b/tests/adapters/ctl_test.cpp
@@ -47,8 +47,8 @@
     return path;
 }
 
-// A node that plans anything and confirms the one plan it knows.
-fake_reply agreeing_node(const fake_request& request)
+// A node that returns the same plan for any intent and confirms only this plan.
+fake_reply confirming_node(const fake_request& request)
 {
     if (request.target == "/v1/intents")
     {
@@ -72,9 +72,9 @@
         .as_object();
 }
 
-TEST(ctl, a_change_is_planned_then_confirmed)
+TEST(ctl, plans_then_confirms_a_change)
 {
-    fake_operators_api node(agreeing_node);
+    fake_operators_api node(confirming_node);
     const std::string credential =
         file_with("credential", "operators-only-123\n");
     const auto planned =
@@ -98,19 +98,19 @@
                                        {"burst", 40.0}}));
     }
     {
-        SCOPED_TRACE("the plan is confirmed by its text");
+        SCOPED_TRACE("a plan given as text is confirmed");
         const auto confirmed = run({"confirm", "T0KEN"}, node.endpoint());
         EXPECT_EQ(confirmed.code, exit_code::success) << confirmed.errors;
         EXPECT_THAT(confirmed.out, HasSubstr("revision 5"));
     }
     {
-        SCOPED_TRACE("or by a file with the plan's answer");
+        SCOPED_TRACE("a plan in a file with the node's reply is confirmed");
         const auto confirmed =
             run({"confirm", file_with("plan", plan_reply)}, node.endpoint());
         EXPECT_EQ(confirmed.code, exit_code::success) << confirmed.errors;
     }
     {
-        SCOPED_TRACE("--yes does both");
+        SCOPED_TRACE("--yes plans and confirms");
         const auto both =
             run({"workspace", "remove", "school", "--yes"}, node.endpoint());
         EXPECT_EQ(both.code, exit_code::success) << both.errors;
@@ -119,9 +119,9 @@
     }
 }
 
-TEST(ctl, operations)
+TEST(ctl, sends_operations)
 {
-    fake_operators_api node(agreeing_node);
+    fake_operators_api node(confirming_node);
     {
         SCOPED_TRACE("a route with all of its fields");
         const auto planned =
@@ -146,7 +146,7 @@
                 {"deadline_ms", 800}}));
     }
     {
-        SCOPED_TRACE("a file of operations is sent as it is");
+        SCOPED_TRACE("a file of operations is sent unchanged");
         const std::string text = R"({"operations": []})";
         EXPECT_EQ(
             run({"plan", file_with("intent", text)}, node.endpoint()).code,
@@ -154,7 +154,7 @@
         EXPECT_EQ(node.requests().back().body, text);
     }
     {
-        SCOPED_TRACE("a data centre and a withdrawn key");
+        SCOPED_TRACE("a data centre is put and a key is withdrawn");
         EXPECT_EQ(
             run({"data-centre", "put", "brno", "--region", "moravia"},
                 node.endpoint())
@@ -175,9 +175,9 @@
     }
 }
 
-TEST(ctl, a_new_key)
+TEST(ctl, creates_a_key)
 {
-    fake_operators_api node(agreeing_node);
+    fake_operators_api node(confirming_node);
     const std::string secret_file = file_with("fleet", fleet_secret);
     const auto added =
         run({"key", "add", "k1", "--workspace", "school", "--fleet-secret-file",
@@ -190,12 +190,12 @@
         added.out.substr(position, added.out.find('"', position) - position);
     const fake_request request = node.requests().front();
     {
-        SCOPED_TRACE("the node sees the digest and never the secret");
+        SCOPED_TRACE("the request contains the digest and not the secret");
         EXPECT_THAT(
             request.body, Not(HasSubstr(key.substr(sizeof("cyk_k1_") - 1))));
     }
     {
-        SCOPED_TRACE("the printed key is the one with that digest");
+        SCOPED_TRACE("the digest is that of the printed key");
         const auto digest =
             digest_of_secret(fleet_secret, key.substr(sizeof("cyk_k1_") - 1));
         std::ostringstream text;
@@ -212,7 +212,8 @@
                                        {"digest", text.str()}}));
     }
     {
-        SCOPED_TRACE("an id with an underscore could not be told apart");
+        SCOPED_TRACE(
+            "an id with an underscore is rejected, as its end is ambiguous");
         EXPECT_EQ(
             run({"key", "add", "k_1", "--workspace", "school",
                  "--fleet-secret-file", secret_file},
@@ -222,7 +223,7 @@
     }
 }
 
-TEST(ctl, refusals)
+TEST(ctl, reports_refusals)
 {
     {
         SCOPED_TRACE("findings are printed with their places");
@@ -241,7 +242,7 @@
         EXPECT_THAT(refused.errors, HasSubstr("must be ?positive"));
     }
     {
-        SCOPED_TRACE("a conflict names the other change");
+        SCOPED_TRACE("a conflict shows the changes of the other plan");
         fake_operators_api node(
             [](const fake_request&)
             {
@@ -255,7 +256,7 @@
         EXPECT_THAT(refused.errors, HasSubstr("+ workspace museum"));
     }
     {
-        SCOPED_TRACE("an unknown outcome is said to be unknown");
+        SCOPED_TRACE("an unavailable platform leaves the outcome unknown");
         fake_operators_api node(
             [](const fake_request&)
             {
@@ -266,7 +267,7 @@
         EXPECT_THAT(unknown.errors, HasSubstr("not known"));
     }
     {
-        SCOPED_TRACE("so is one whose answer was lost");
+        SCOPED_TRACE("a lost reply leaves the outcome unknown");
         fake_operators_api node(
             [](const fake_request&)
             {
@@ -277,16 +278,16 @@
         EXPECT_THAT(unknown.errors, HasSubstr("not known"));
     }
     {
-        SCOPED_TRACE("a node that is not there");
+        SCOPED_TRACE("a node that does not run cannot be reached");
         std::string endpoint;
         {
-            endpoint = fake_operators_api(agreeing_node).endpoint();
+            endpoint = fake_operators_api(confirming_node).endpoint();
         }
         EXPECT_EQ(run({"status"}, endpoint).code, exit_code::not_reached);
     }
 }
 
-TEST(ctl, usage)
+TEST(ctl, reports_bad_usage)
 {
     for (const auto& words : std::vector<std::vector<std::string>>{
              {},
@@ -319,7 +320,7 @@
     }
 }
 
-TEST(ctl, answers_as_text_and_json)
+TEST(ctl, prints_replies_as_text_and_json)
 {
     constexpr const char* status =
         R"({"revision":5,"data_centres":[{"name":"brno","behind":0},)"
