--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -118,7 +118,7 @@
 {
     auto record = upstream_of(subject);
     record.state = upstream_state::draining;
-    announce(fleet, subject, record);
+    set_node_upstream(fleet, subject, record);
     const host_id host = fleet.nodes[subject].host;
     return time_until_all(
         fleet, subject, 20s,
@@ -131,7 +131,8 @@
 
 double measure_change(fake_fleet& fleet, std::size_t committer)
 {
-    act(fleet, committer,
+    run_on_node(
+        fleet, committer,
         [](fleet_node& node, time_point now, random_source& random,
            control_actions& actions)
         {
@@ -152,7 +153,7 @@
 double measure_detection(fake_fleet& fleet, std::size_t subject)
 {
     const host_id host = fleet.nodes[subject].host;
-    kill_node(fleet, subject);
+    crash_node(fleet, subject);
     return time_until_all(
         fleet, subject, 30s,
         [host](const fleet_node& node)
--- a/bench/rates_bench.cpp
+++ b/bench/rates_bench.cpp
@@ -61,11 +61,11 @@
         {"overshoot", std::max(0.0, oracle.highest_excess)}};
 }
 
-json::object measure_size(std::uint32_t hosts_each)
+json::object measure_size(std::uint32_t hosts_per_data_centre)
 {
     constexpr duration measured = 10s;
     fleet_options options;
-    options.hosts_each = hosts_each;
+    options.hosts_per_data_centre = hosts_per_data_centre;
     const auto fleet = start_fleet(options, 1000.0, 200.0);
     for (const auto& [host, node] : fleet->nodes)
     {
@@ -89,7 +89,7 @@
         static_cast<double>(fleet->nodes.size()) * to_seconds(measured);
     return {
         {"hosts", fleet->nodes.size()},
-        {"hosts_each_data_centre", hosts_each},
+        {"hosts_each_data_centre", hosts_per_data_centre},
         {"messages_a_node_second",
          static_cast<double>(messages) / node_seconds},
         {"bytes_a_node_second", static_cast<double>(bytes) / node_seconds},
--- a/tests/core/claims_test.cpp
+++ b/tests/core/claims_test.cpp
@@ -51,7 +51,7 @@
         virtual_node& from, const std::string& key, std::uint64_t digest = 1)
     {
         const claim_token token = ++last_token;
-        fleet->act(
+        fleet->run_on_node(
             from,
             [&](control_state& control, time_point now, random_source& random,
                 control_actions& actions)
@@ -69,7 +69,7 @@
         virtual_node& from, const std::string& key, const claim_grant& grant,
         outcome result)
     {
-        fleet->act(
+        fleet->run_on_node(
             from,
             [&](control_state& control, time_point now, random_source& random,
                 control_actions& actions)
@@ -211,7 +211,7 @@
     virtual_node& node = claims.node(0);
     const std::string key = claims.issue_ticket(node);
     SCOPED_TRACE("no claim is granted while all links are cut");
-    claims.fleet->network.connected =
+    claims.fleet->network.is_link_up =
         [](const virtual_node&, const virtual_node&)
     {
         return false;
--- a/tests/core/configuration_status_test.cpp
+++ b/tests/core/configuration_status_test.cpp
@@ -18,7 +18,8 @@
 
 void commit_one(fake_fleet& fleet, std::size_t place)
 {
-    act(fleet, place,
+    run_on_node(
+        fleet, place,
         [](fleet_node& node, time_point now, random_source& random,
            control_actions& actions)
         {
@@ -64,7 +65,7 @@
     }
     {
         SCOPED_TRACE("a partitioned data centre shows its own staleness");
-        fleet.may_pass = [](const fleet_node& from, const fleet_node& to)
+        fleet.is_link_up = [](const fleet_node& from, const fleet_node& to)
         {
             return (from.data_centre_name == "zlin") ==
                    (to.data_centre_name == "zlin");
--- a/tests/core/configuration_test.cpp
+++ b/tests/core/configuration_test.cpp
@@ -27,7 +27,8 @@
     fake_fleet& fleet, std::size_t place, commit_token token,
     std::uint64_t base, const std::string& id, const std::string& operations)
 {
-    act(fleet, place,
+    run_on_node(
+        fleet, place,
         [&](fleet_node& node, time_point now, random_source& random,
             control_actions& actions)
         {
@@ -262,7 +263,7 @@
         SCOPED_TRACE("all nodes are restarted one by one");
         for (std::size_t place = 0; place < fleet.nodes.size(); ++place)
         {
-            kill_node(fleet, place);
+            crash_node(fleet, place);
             start_node(fleet, place);
             EXPECT_TRUE(run_until_true(
                 fleet, 20s,
@@ -301,7 +302,7 @@
 {
     fake_fleet fleet(5);
     start_fleet(fleet);
-    fleet.may_pass = [](const fleet_node& from, const fleet_node& to)
+    fleet.is_link_up = [](const fleet_node& from, const fleet_node& to)
     {
         return (from.data_centre_name == "zlin") ==
                (to.data_centre_name == "zlin");
@@ -329,7 +330,7 @@
     }
     {
         SCOPED_TRACE("it catches up once the links are back");
-        fleet.may_pass = {};
+        fleet.is_link_up = {};
         EXPECT_TRUE(run_until_true(
             fleet, 5s,
             [&]
@@ -371,7 +372,7 @@
         SCOPED_TRACE("a node that reaches only the platform gets the whole "
                      "configuration");
         const auto added = add_node(fleet, "lone");
-        fleet.may_pass = [&](const fleet_node& from, const fleet_node& to)
+        fleet.is_link_up = [&](const fleet_node& from, const fleet_node& to)
         {
             return from.data_centre_name != "lone" &&
                    to.data_centre_name != "lone";
--- a/tests/core/fleet_fuzz_test.cpp
+++ b/tests/core/fleet_fuzz_test.cpp
@@ -46,21 +46,21 @@
     while (fleet.now() < end)
     {
         number += fault.kind == fault_kind::demand_at_node ? 0 : 1;
-        fleet.offer(node_number(fleet, number), school, 2s);
+        fleet.offer(node_at(fleet, number), school, 2s);
         fleet.run_for(from_seconds(1.0 / offered_rate));
     }
 }
 
 // One run: faults in turn under demand, then a healthy end. Returns what was
 // violated, or nothing.
-std::string run_rates_story(
+std::string run_rates_under_faults(
     const std::vector<fleet_fault>& faults, std::uint64_t seed,
     duration removal_time)
 {
     fleet_options options;
     options.seed = seed;
     options.links = {0.01, 0.02, 200us, 3ms, 0.0005};
-    options.given_members = seed % 8 != 0;
+    options.static_members = seed % 8 != 0;
     options.rates.removal_time = removal_time;
     virtual_fleet fleet(options);
     fleet.settings = std::make_shared<const configuration>(
@@ -69,7 +69,7 @@
     oracle.rate = 60.0;
     oracle.burst = 18.0;
     std::string violation;
-    fleet.after_step = [&](virtual_node&)
+    fleet.after_event = [&](virtual_node&)
     {
         if (const double sum = largest_weight_sum(fleet, school);
             sum > 1.0 + 1e-9 && violation.empty())
@@ -78,7 +78,7 @@
         }
     };
     fleet_cuts cuts;
-    watch_cuts(fleet, cuts);
+    install_cuts(fleet, cuts);
     fleet.start_all();
     for (const auto& fault : faults)
     {
@@ -121,7 +121,7 @@
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     const bool quick_removal = *rc::gen::arbitrary<bool>();
     RC_ASSERT(
-        run_rates_story(
+        run_rates_under_faults(
             faults, seed, quick_removal ? duration(14s) : duration(60s)) == "");
 }
 
@@ -134,7 +134,7 @@
 
 std::string new_key(virtual_fleet& fleet, std::uint64_t number)
 {
-    virtual_node& node = node_number(fleet, random_below(fleet.random, 12));
+    virtual_node& node = node_at(fleet, random_below(fleet.random, 12));
     const std::uint64_t choice = random_below(fleet.random, 10);
     if (choice < 6 && node.up)
     {
@@ -158,10 +158,10 @@
     virtual_fleet& fleet, virtual_calls& calls, std::vector<used_key>& keys)
 {
     random_source& random = fleet.random;
-    virtual_node& node = node_number(fleet, random_below(random, 12));
+    virtual_node& node = node_at(fleet, random_below(random, 12));
     if (random_below(random, 20) == 0)
     {
-        calls.begin(node, "", stranger_key);
+        calls.begin(node, "", invalid_key);
         return;
     }
     // Plain keys are only remembered for a time, so they are not used longer.
@@ -187,13 +187,13 @@
     calls.begin(node, key, museum_key);
 }
 
-std::string
-run_claims_story(const std::vector<fleet_fault>& faults, std::uint64_t seed)
+std::string run_claims_under_faults(
+    const std::vector<fleet_fault>& faults, std::uint64_t seed)
 {
     fleet_options options;
     options.seed = seed;
     options.links = {0.01, 0.02, 200us, 3ms, 0.0005};
-    options.given_members = seed % 8 != 0;
+    options.static_members = seed % 8 != 0;
     options.claims.retention = 30s;
     options.claims.claim_term = 4s;
     virtual_fleet fleet(options);
@@ -201,7 +201,7 @@
         with_bookings(rates_configuration(options, 60.0, 18.0)));
     virtual_calls calls(fleet);
     fleet_cuts cuts;
-    watch_cuts(fleet, cuts);
+    install_cuts(fleet, cuts);
     std::vector<used_key> keys;
     fleet.start_all();
     fleet.run_for(2s);
@@ -225,7 +225,7 @@
     const std::uint64_t before = calls.delivered;
     for (int number = 0; number < 50; ++number)
     {
-        virtual_node& node = node_number(fleet, number);
+        virtual_node& node = node_at(fleet, number);
         calls.begin(
             node,
             claims_issue_ticket(
@@ -248,7 +248,7 @@
     const auto faults = *rc::gen::scale(
         0.3, rc::gen::container<std::vector<fleet_fault>>(arbitrary_fault()));
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
-    RC_ASSERT(run_claims_story(faults, seed) == "");
+    RC_ASSERT(run_claims_under_faults(faults, seed) == "");
 }
 
 } // namespace
--- a/tests/core/membership_faults_test.cpp
+++ b/tests/core/membership_faults_test.cpp
@@ -75,7 +75,7 @@
             continue;
         }
         const std::uint64_t revision = node.chain->current->revision;
-        auto& newest = state.newest[{place, node.life}];
+        auto& newest = state.newest[{place, node.incarnation}];
         if (revision < newest)
         {
             state.violation = "a revision was reverted";
@@ -99,8 +99,9 @@
     }
     const commit_token token = state.requested_commits.size() + 1;
     const std::string id = "op-" + std::to_string(token);
-    state.requested_commits[token] = {place, node.life, id};
-    act(state.fleet, place,
+    state.requested_commits[token] = {place, node.incarnation, id};
+    run_on_node(
+        state.fleet, place,
         [&](fleet_node& self, time_point now, random_source& random,
             control_actions& actions)
         {
@@ -119,7 +120,7 @@
     const std::uint64_t half = random_below(state.random, 64);
     if (kind == fault::cut_data_centre)
     {
-        state.fleet.may_pass =
+        state.fleet.is_link_up =
             [name](const fleet_node& from, const fleet_node& to)
         {
             return (from.data_centre_name == name) ==
@@ -128,7 +129,7 @@
     }
     if (kind == fault::cut_one_way)
     {
-        state.fleet.may_pass =
+        state.fleet.is_link_up =
             [one, half](const fleet_node& from, const fleet_node& to)
         {
             return from.host != one ||
@@ -137,7 +138,7 @@
     }
     if (kind == fault::cut_inside)
     {
-        state.fleet.may_pass =
+        state.fleet.is_link_up =
             [half](const fleet_node& from, const fleet_node& to)
         {
             const auto side = [half](const fleet_node& node)
@@ -175,14 +176,14 @@
         cut_links(state, kind);
         return;
     case fault::restore_links:
-        fleet.may_pass = {};
+        fleet.is_link_up = {};
         fleet.faults = {};
         return;
     case fault::kill:
-        kill_node(fleet, place);
+        crash_node(fleet, place);
         return;
     case fault::restart:
-        kill_node(fleet, place);
+        crash_node(fleet, place);
         // In half of the restarts, the wall clocks are set back by 5 s.
         fleet.wall_clock_ms -= random_below(state.random, 2) * 5000;
         start_node(fleet, place);
@@ -230,7 +231,7 @@
 void end_faults(test_state& state)
 {
     fake_fleet& fleet = state.fleet;
-    fleet.may_pass = {};
+    fleet.is_link_up = {};
     fleet.faults = {0.01, 0.0, 500us, 1500us};
     fleet.platform.faults = {};
     for (std::size_t place = 0; place < node_count; ++place)
@@ -266,7 +267,7 @@
     for (const auto& [token, requested] : state.requested_commits)
     {
         const fleet_node& node = state.fleet.nodes[requested.node];
-        if (node.life != requested.node_incarnation)
+        if (node.incarnation != requested.node_incarnation)
         {
             continue;
         }
--- a/tests/core/membership_test.cpp
+++ b/tests/core/membership_test.cpp
@@ -95,7 +95,7 @@
         }));
     {
         SCOPED_TRACE("an announcement reaches all members");
-        announce(fleet, 0, serving("booking"));
+        set_node_upstream(fleet, 0, serving("booking"));
         EXPECT_TRUE(run_until_true(
             fleet, 2s,
             [&]
@@ -108,7 +108,7 @@
         fleet.faults.loss = 0.05;
         auto record = serving("booking");
         record.state = upstream_state::draining;
-        announce(fleet, 0, record);
+        set_node_upstream(fleet, 0, record);
         EXPECT_TRUE(run_until_true(
             fleet, 3s,
             [&]
@@ -118,7 +118,8 @@
     }
     {
         SCOPED_TRACE("the leave of its host reaches all members within 3 s");
-        act(fleet, 0,
+        run_on_node(
+            fleet, 0,
             [](fleet_node& node, time_point now, random_source& random,
                control_actions& actions)
             {
@@ -140,7 +141,7 @@
     add_nodes(fleet, three_data_centres, 12);
     for (std::size_t place = 0; place < 12; ++place)
     {
-        announce(fleet, place, serving("booking"));
+        set_node_upstream(fleet, place, serving("booking"));
     }
     ASSERT_TRUE(run_until_true(
         fleet, 20s,
@@ -150,7 +151,7 @@
         }));
     {
         SCOPED_TRACE("a failed host is removed by all members within 10 s");
-        kill_node(fleet, 4);
+        crash_node(fleet, 4);
         EXPECT_TRUE(run_until_true(
             fleet, 10s,
             [&]
@@ -171,7 +172,7 @@
     }
     {
         SCOPED_TRACE("a replacement joins also when its wall clock is behind");
-        kill_node(fleet, 4);
+        crash_node(fleet, 4);
         fleet.wall_clock_ms -= 1'000'000;
         start_node(fleet, 4);
         EXPECT_TRUE(run_until_true(
@@ -213,7 +214,7 @@
     add_nodes(fleet, three_data_centres, 12);
     for (std::size_t place = 0; place < 12; ++place)
     {
-        announce(fleet, place, serving("booking"));
+        set_node_upstream(fleet, place, serving("booking"));
     }
     ASSERT_TRUE(run_until_true(
         fleet, 20s,
@@ -221,7 +222,7 @@
         {
             return is_converged(fleet);
         }));
-    fleet.may_pass = [](const fleet_node& from, const fleet_node& to)
+    fleet.is_link_up = [](const fleet_node& from, const fleet_node& to)
     {
         return (from.data_centre_name == "brno") ==
                (to.data_centre_name == "brno");
@@ -247,10 +248,11 @@
     {
         SCOPED_TRACE(
             "changes during the partition reach all members after it ends");
-        kill_node(fleet, 3);
-        announce(fleet, 1, {"renewal", upstream_state::serving, 15, 200, 0});
+        crash_node(fleet, 3);
+        set_node_upstream(
+            fleet, 1, {"renewal", upstream_state::serving, 15, 200, 0});
         run_for(fleet, 30s);
-        fleet.may_pass = {};
+        fleet.is_link_up = {};
         EXPECT_TRUE(run_until_true(
             fleet, 60s,
             [&]
@@ -276,7 +278,7 @@
                      "the members");
         const host_id from = fleet.nodes[0].host;
         const host_id to = fleet.nodes[1].host;
-        fleet.may_pass = [=](const fleet_node& left, const fleet_node& right)
+        fleet.is_link_up = [=](const fleet_node& left, const fleet_node& right)
         {
             return left.host != from || right.host != to;
         };
@@ -286,14 +288,14 @@
     {
         SCOPED_TRACE(
             "two partitioned halves declare each other dead and merge again");
-        fleet.may_pass = [&](const fleet_node& left, const fleet_node& right)
+        fleet.is_link_up = [&](const fleet_node& left, const fleet_node& right)
         {
             return (fleet.index.at(left.host) < 3) ==
                    (fleet.index.at(right.host) < 3);
         };
         run_for(fleet, 60s);
         EXPECT_EQ(state_of(fleet, 0, 5), member_state::dead);
-        fleet.may_pass = {};
+        fleet.is_link_up = {};
         EXPECT_TRUE(run_until_true(
             fleet, 60s,
             [&]
--- a/tests/core/overload_regression_test.cpp
+++ b/tests/core/overload_regression_test.cpp
@@ -13,12 +13,12 @@
 namespace
 {
 
-constexpr double least_goodput = 0.95;
-constexpr double least_critical_served = 0.999;
-constexpr double longest_recovery_seconds = 2.0;
-constexpr double least_workspace_share = 0.9;
+constexpr double min_goodput = 0.95;
+constexpr double min_critical_served = 0.999;
+constexpr double max_recovery_seconds = 2.0;
+constexpr double min_workspace_share = 0.9;
 // Of all requests; the target is none.
-constexpr double most_unforced_failures = 0.0;
+constexpr double max_unforced_failures = 0.0;
 
 struct overload_case
 {
@@ -68,7 +68,7 @@
 
 TEST_P(overload_regression, goodput)
 {
-    EXPECT_GE(figures_of(GetParam()).goodput, least_goodput);
+    EXPECT_GE(figures_of(GetParam()).goodput, min_goodput);
 }
 
 TEST_P(overload_regression, critical_served)
@@ -76,23 +76,22 @@
     const auto figures = figures_of(GetParam());
     EXPECT_GE(
         figures.critical_served,
-        least_critical_served * figures.critical_possible);
+        min_critical_served * figures.critical_possible);
 }
 
 TEST_P(overload_regression, worst_workspace)
 {
-    EXPECT_GE(figures_of(GetParam()).worst_workspace, least_workspace_share);
+    EXPECT_GE(figures_of(GetParam()).worst_workspace, min_workspace_share);
 }
 
 TEST_P(overload_regression, no_unforced_failures)
 {
-    EXPECT_LE(figures_of(GetParam()).unforced_failures, most_unforced_failures);
+    EXPECT_LE(figures_of(GetParam()).unforced_failures, max_unforced_failures);
 }
 
 TEST_P(overload_regression, recovery)
 {
-    EXPECT_LE(
-        figures_of(GetParam()).recovery_seconds, longest_recovery_seconds);
+    EXPECT_LE(figures_of(GetParam()).recovery_seconds, max_recovery_seconds);
 }
 
 TEST_P(overload_regression, attempts_at_deepest)
@@ -106,7 +105,7 @@
 INSTANTIATE_TEST_SUITE_P(
     all, overload_regression, testing::ValuesIn(all_cases()), case_name);
 
-TEST(overload, nothing_is_refused_in_calm)
+TEST(overload, no_request_fails_without_overload)
 {
     for (const auto& deployment : {brno(), badge_office()})
     {
--- a/tests/process/fleet_processes.hpp
+++ b/tests/process/fleet_processes.hpp
@@ -29,14 +29,14 @@
 namespace http = boost::beast::http;
 namespace json = boost::json;
 
-constexpr auto patience = std::chrono::seconds(30);
+constexpr auto wait_limit = std::chrono::seconds(30);
 constexpr const char* fleet_secret = "fleet-secret-of-tests";
 constexpr const char* operator_credential = "operators-of-tests";
 
-// Polls until the condition holds; false when patience is over.
+// Polls until the condition holds; false when wait_limit is over.
 inline bool wait_until(
     const std::function<bool()>& condition,
-    std::chrono::steady_clock::duration limit = patience)
+    std::chrono::steady_clock::duration limit = wait_limit)
 {
     const auto deadline = std::chrono::steady_clock::now() + limit;
     while (!condition())
@@ -54,21 +54,21 @@
 class process
 {
 public:
-    explicit process(std::vector<std::string> words)
+    explicit process(std::vector<std::string> command)
     {
-        int ends[2] = {-1, -1};
-        if (::pipe(ends) != 0)
+        int pipe_ends[2] = {-1, -1};
+        if (::pipe(pipe_ends) != 0)
         {
             std::abort();
         }
         posix_spawn_file_actions_t actions;
         posix_spawn_file_actions_init(&actions);
-        posix_spawn_file_actions_adddup2(&actions, ends[1], STDOUT_FILENO);
-        posix_spawn_file_actions_addclose(&actions, ends[0]);
-        words[0] = std::string(CYCLAMEN_BIN_DIR "/") + words[0];
+        posix_spawn_file_actions_adddup2(&actions, pipe_ends[1], STDOUT_FILENO);
+        posix_spawn_file_actions_addclose(&actions, pipe_ends[0]);
+        command[0] = std::string(CYCLAMEN_BIN_DIR "/") + command[0];
         std::vector<char*> arguments;
-        arguments.reserve(words.size() + 1);
-        for (auto& word : words)
+        arguments.reserve(command.size() + 1);
+        for (auto& word : command)
         {
             arguments.push_back(word.data());
         }
@@ -76,8 +76,8 @@
         ::posix_spawn(
             &id_, arguments[0], &actions, nullptr, arguments.data(), environ);
         posix_spawn_file_actions_destroy(&actions);
-        ::close(ends[1]);
-        FILE* const output = ::fdopen(ends[0], "r");
+        ::close(pipe_ends[1]);
+        FILE* const output = ::fdopen(pipe_ends[0], "r");
         char line[1024] = "{}";
         if (std::fgets(line, sizeof line, output) == nullptr)
         {
@@ -226,9 +226,9 @@
 
     void add_upstream(
         std::size_t node, const std::string& service,
-        const std::vector<std::string>& more = {})
+        const std::vector<std::string>& extra_arguments = {})
     {
-        std::vector<std::string> words{
+        std::vector<std::string> command{
             "cyclamen-standin-upstream",
             "--service",
             service,
@@ -238,8 +238,9 @@
             "2",
             "--distribution",
             "fixed"};
-        words.insert(words.end(), more.begin(), more.end());
-        upstreams.push_back(std::make_unique<process>(words));
+        command.insert(
+            command.end(), extra_arguments.begin(), extra_arguments.end());
+        upstreams.push_back(std::make_unique<process>(command));
     }
 
     // Plans and confirms; the operations are JSON.
@@ -268,8 +269,8 @@
     }
 
     // Waits until a node serves the target.
-    [[nodiscard]] bool
-    served(std::size_t node, const std::string& target, const std::string& key)
+    [[nodiscard]] bool wait_until_served(
+        std::size_t node, const std::string& target, const std::string& key)
     {
         return wait_until(
             [&]
--- a/tests/process/node_test.cpp
+++ b/tests/process/node_test.cpp
@@ -62,8 +62,8 @@
         hosts.configure(operations());
         for (std::size_t node = 0; node < 2; ++node)
         {
-            ASSERT_TRUE(hosts.served(node, "/booking/ready", key));
-            ASSERT_TRUE(hosts.served(node, "/charge/ready", key));
+            ASSERT_TRUE(hosts.wait_until_served(node, "/booking/ready", key));
+            ASSERT_TRUE(hosts.wait_until_served(node, "/charge/ready", key));
         }
     }
 
@@ -90,7 +90,7 @@
     fleet hosts;
 };
 
-TEST_F(two_nodes, keys_stay_with_the_nodes)
+TEST_F(two_nodes, keys_are_not_forwarded_to_upstreams)
 {
     http_call call{http::verb::get, "/booking/" + key.substr(0, 3), key};
     EXPECT_EQ(send_once(callers(1), call).status, 200U);
@@ -123,7 +123,7 @@
     }
 }
 
-TEST_F(two_nodes, a_withdrawn_key_stops_on_open_connections)
+TEST_F(two_nodes, withdrawn_key_is_refused_on_open_connections)
 {
     client connection(callers(1));
     EXPECT_EQ(
@@ -138,7 +138,7 @@
         std::chrono::seconds(3)));
 }
 
-TEST_F(two_nodes, outcomes_are_true_when_an_upstream_dies)
+TEST_F(two_nodes, outcomes_match_runs_when_an_upstream_crashes)
 {
     {
         SCOPED_TRACE("a death during a never-repeat request leaves it unknown");
@@ -160,11 +160,11 @@
     }
     {
         SCOPED_TRACE("it comes back by announcing itself");
-        EXPECT_TRUE(hosts.served(0, "/charge/back", key));
+        EXPECT_TRUE(hosts.wait_until_served(0, "/charge/back", key));
     }
 }
 
-TEST_F(two_nodes, large_bodies_come_whole)
+TEST_F(two_nodes, large_bodies_arrive_complete)
 {
     constexpr std::size_t size = 8 * 1024 * 1024;
     const http_call call{
@@ -175,7 +175,7 @@
     EXPECT_EQ(answer.body.size(), size);
 }
 
-TEST_F(two_nodes, a_planned_stop_cuts_no_request)
+TEST_F(two_nodes, planned_stop_aborts_no_request)
 {
     std::atomic<bool> done{false};
     std::atomic<int> cut{0};
@@ -209,7 +209,7 @@
     EXPECT_EQ(hosts.nodes[0]->wait(), 0);
 }
 
-TEST_F(two_nodes, bad_input_is_refused_and_the_node_stays)
+TEST_F(two_nodes, malformed_input_is_refused_and_node_keeps_serving)
 {
     using boost::asio::ip::tcp;
     const auto colon = callers(0).find(':');
@@ -235,10 +235,10 @@
         EXPECT_EQ(
             send_once(peers, {http::verb::get, "/", {}, {}, {}}).status, 0U);
     }
-    EXPECT_TRUE(hosts.served(0, "/charge/still", key));
+    EXPECT_TRUE(hosts.wait_until_served(0, "/charge/still", key));
 }
 
-TEST_F(two_nodes, the_platform_away_and_a_paused_node)
+TEST_F(two_nodes, node_replies_without_platform_or_peer)
 {
     const auto down = send_once(
         hosts.platform.port("listening"),
@@ -254,7 +254,7 @@
             send_once(callers(0), {http::verb::get, "/charge/paused", key});
         EXPECT_NE(answer.status, 0U);
         hosts.nodes[1]->signal(SIGCONT);
-        EXPECT_TRUE(hosts.served(0, "/charge/resumed", key));
+        EXPECT_TRUE(hosts.wait_until_served(0, "/charge/resumed", key));
     }
 }
 
--- a/tests/support/call_fleet.hpp
+++ b/tests/support/call_fleet.hpp
@@ -48,7 +48,7 @@
     host_id id = host_id::none;
     std::size_t service = 0;
     std::size_t data_centre = 0;
-    bool alive = true;
+    bool is_up = true;
     request_path path;
     gate_state gate;
     virtual_upstream upstream;
@@ -58,7 +58,7 @@
     std::uint32_t fixed_running = 0;
 };
 
-struct workspace_tokens
+struct workspace_bucket
 {
     double tokens = 0.0;
     time_point at{};
@@ -72,7 +72,7 @@
     virtual_clock clock;
     random_source random;
     std::vector<std::unique_ptr<virtual_host>> hosts;
-    std::vector<workspace_tokens> rates;
+    std::vector<workspace_bucket> rates;
     std::uint64_t next_id = 1;
     virtual_result result;
 };
@@ -82,7 +82,7 @@
     return "cyk_k" + std::to_string(workspace) + "_secret";
 }
 
-[[nodiscard]] inline data_centre_id data_centre_number(std::size_t number)
+[[nodiscard]] inline data_centre_id data_centre_at(std::size_t number)
 {
     return data_centre_id_of("dc" + std::to_string(number));
 }
@@ -131,16 +131,16 @@
         service.connections, 1};
 }
 
-// Publishes the upstreams of all hosts that are alive to every node.
+// Publishes the upstreams of all hosts that are is_up to every node.
 inline void publish_routing(call_fleet& fleet)
 {
     std::vector<upstream_location> locations;
     for (const auto& host : fleet.hosts)
     {
-        if (host->alive)
+        if (host->is_up)
         {
             locations.push_back(
-                {host->id, 1, data_centre_number(host->data_centre),
+                {host->id, 1, data_centre_at(host->data_centre),
                  record_of(fleet, *host)});
         }
     }
@@ -150,7 +150,7 @@
         {
             const auto previous = host->path.routing.read();
             *view = build_routing_view(
-                locations, data_centre_number(host->data_centre), *previous);
+                locations, data_centre_at(host->data_centre), *previous);
         }
         host->path.routing.publish(std::move(view));
     }
--- a/tests/support/fake_fleet.hpp
+++ b/tests/support/fake_fleet.hpp
@@ -41,9 +41,9 @@
     // Local clock = offset + true time * (1 + drift).
     duration clock_offset{};
     double clock_drift = 0.0;
-    // The life that a message or reply is meant for.
-    std::uint64_t life = 0;
-    time_point wake_at = time_point::max();
+    // The incarnation that a message or reply is meant for.
+    std::uint64_t incarnation = 0;
+    time_point next_tick_at = time_point::max();
     std::uint64_t bytes_sent = 0;
     std::uint64_t messages_sent = 0;
     std::uint64_t platform_calls = 0;
@@ -55,13 +55,13 @@
     time_point at{};
     std::uint64_t order = 0;
     std::size_t node = 0;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     // A message, or a wake-up without one.
     std::optional<outgoing_message> message;
     host_id from = host_id::none;
 };
 
-struct later_event
+struct later_fleet_event
 {
     bool operator()(const fleet_event& left, const fleet_event& right) const
     {
@@ -84,11 +84,12 @@
     std::vector<fleet_node> nodes;
     std::map<host_id, std::size_t> index;
     // Whether a message may pass from one node to the other.
-    std::function<bool(const fleet_node&, const fleet_node&)> may_pass;
-    std::priority_queue<fleet_event, std::vector<fleet_event>, later_event>
+    std::function<bool(const fleet_node&, const fleet_node&)> is_link_up;
+    std::priority_queue<
+        fleet_event, std::vector<fleet_event>, later_fleet_event>
         queue;
     std::uint64_t next_order = 0;
-    bool keep_events = true;
+    bool record_events = true;
     std::size_t largest_datagram = 0;
 };
 
@@ -110,41 +111,42 @@
     return time_point{from_seconds(since / (1.0 + node.clock_drift)) + 1us};
 }
 
-// One life of a node, as the platform sees it.
-inline store_caller caller_of(const fleet_node& node, std::size_t place)
+// One incarnation of a node, as the platform sees it.
+inline store_caller caller_of(const fleet_node& node, std::size_t node_index)
 {
-    return (node.life << 32) | place;
+    return (node.incarnation << 32) | node_index;
 }
 
 inline std::size_t add_node(
     fake_fleet& fleet, const std::string& data_centre, duration offset = {})
 {
-    const std::size_t place = fleet.nodes.size();
+    const std::size_t node_index = fleet.nodes.size();
     fleet_node node;
-    node.host =
-        make_host_id(0x0a000000U + static_cast<std::uint32_t>(place) + 1, 7400);
+    node.host = make_host_id(
+        0x0a000000U + static_cast<std::uint32_t>(node_index) + 1, 7400);
     node.data_centre_name = data_centre;
     node.settings.self = node.host;
     node.settings.data_centre = data_centre_id_of(data_centre);
     node.settings.data_centre_name = data_centre;
     node.random.seed(fleet.random());
     node.clock_offset = offset;
-    fleet.index[node.host] = place;
+    fleet.index[node.host] = node_index;
     fleet.nodes.push_back(std::move(node));
-    return place;
+    return node_index;
 }
 
-inline void schedule_wake(fake_fleet& fleet, std::size_t place)
+inline void schedule_node_tick(fake_fleet& fleet, std::size_t node_index)
 {
-    fleet_node& node = fleet.nodes[place];
+    fleet_node& node = fleet.nodes[node_index];
     const time_point due =
         std::min(membership_due(*node.membership), chain_due(*node.chain));
     time_point at = std::max(true_time(node, due), fleet.now);
     at = std::max(at, node.paused_until);
-    if (at < node.wake_at || node.wake_at <= fleet.now)
+    if (at < node.next_tick_at || node.next_tick_at <= fleet.now)
     {
-        node.wake_at = at;
-        fleet.queue.push({at, fleet.next_order++, place, node.life, {}, {}});
+        node.next_tick_at = at;
+        fleet.queue.push(
+            {at, fleet.next_order++, node_index, node.incarnation, {}, {}});
     }
 }
 
@@ -166,7 +168,7 @@
         return;
     }
     const fleet_node& receiver = fleet.nodes[target->second];
-    if (fleet.may_pass && !fleet.may_pass(node, receiver))
+    if (fleet.is_link_up && !fleet.is_link_up(node, receiver))
     {
         return;
     }
@@ -190,14 +192,14 @@
                 : fleet.faults.longest_delay;
         fleet.queue.push(
             {fleet.now + delay, fleet.next_order++, target->second,
-             receiver.life, message, node.host});
+             receiver.incarnation, message, node.host});
     }
 }
 
-inline void
-carry_out(fake_fleet& fleet, std::size_t place, control_actions& actions)
+inline void perform_actions(
+    fake_fleet& fleet, std::size_t node_index, control_actions& actions)
 {
-    fleet_node& node = fleet.nodes[place];
+    fleet_node& node = fleet.nodes[node_index];
     for (const auto& message : actions.messages)
     {
         send_over_link(fleet, node, message);
@@ -213,12 +215,13 @@
             reply.status = platform_status::unavailable;
             fleet.platform.answers.emplace(
                 fleet.now + call.timeout,
-                store_answer{caller_of(node, place), reply});
+                store_answer{caller_of(node, node_index), reply});
             continue;
         }
-        store_call(fleet.platform, caller_of(node, place), call, fleet.now);
+        store_call(
+            fleet.platform, caller_of(node, node_index), call, fleet.now);
     }
-    if (fleet.keep_events)
+    if (fleet.record_events)
     {
         for (auto& happened : actions.events)
         {
@@ -226,18 +229,18 @@
         }
     }
     publish_to_membership(*node.chain, *node.membership);
-    schedule_wake(fleet, place);
+    schedule_node_tick(fleet, node_index);
 }
 
-inline void start_node(fake_fleet& fleet, std::size_t place)
+inline void start_node(fake_fleet& fleet, std::size_t node_index)
 {
-    fleet_node& node = fleet.nodes[place];
+    fleet_node& node = fleet.nodes[node_index];
     node.membership = std::make_unique<membership_state>();
     node.chain = std::make_unique<chain_state>();
     node.running = true;
     node.paused_until = {};
-    node.wake_at = time_point::max();
-    ++node.life;
+    node.next_tick_at = time_point::max();
+    ++node.incarnation;
     control_actions actions;
     const time_point local = local_time(node, fleet.now);
     membership_start(
@@ -246,24 +249,24 @@
     chain_start(
         *node.chain, {node.host, node.settings.data_centre}, local, node.random,
         actions);
-    carry_out(fleet, place, actions);
+    perform_actions(fleet, node_index, actions);
 }
 
 // Ends a node without a word.
-inline void kill_node(fake_fleet& fleet, std::size_t place)
+inline void crash_node(fake_fleet& fleet, std::size_t node_index)
 {
-    fleet_node& node = fleet.nodes[place];
-    store_forget_caller(fleet.platform, caller_of(node, place));
+    fleet_node& node = fleet.nodes[node_index];
+    store_forget_caller(fleet.platform, caller_of(node, node_index));
     node.running = false;
-    ++node.life;
+    ++node.incarnation;
 }
 
 // The node's calls under way get no answer but their timeout.
-inline void cut_from_platform(fake_fleet& fleet, std::size_t place)
+inline void cut_from_platform(fake_fleet& fleet, std::size_t node_index)
 {
-    fleet_node& node = fleet.nodes[place];
+    fleet_node& node = fleet.nodes[node_index];
     node.cut_from_platform = true;
-    const store_caller caller = caller_of(node, place);
+    const store_caller caller = caller_of(node, node_index);
     std::vector<platform_reply> replies;
     for (const auto* calls :
          {&fleet.platform.arriving, &fleet.platform.watches})
@@ -299,14 +302,14 @@
     }
 }
 
-inline void tick_node(fake_fleet& fleet, std::size_t place)
+inline void tick_node(fake_fleet& fleet, std::size_t node_index)
 {
-    fleet_node& node = fleet.nodes[place];
+    fleet_node& node = fleet.nodes[node_index];
     control_actions actions;
     const time_point local = local_time(node, fleet.now);
     membership_tick(*node.membership, local, node.random, actions);
     chain_tick(*node.chain, *node.membership, local, node.random, actions);
-    carry_out(fleet, place, actions);
+    perform_actions(fleet, node_index, actions);
 }
 
 inline void deliver(fake_fleet& fleet, const fleet_event& arrived)
@@ -327,19 +330,19 @@
             *node.chain, *node.membership, message, local, node.random,
             actions);
     }
-    carry_out(fleet, arrived.node, actions);
+    perform_actions(fleet, arrived.node, actions);
 }
 
-inline void
-take_reply(fake_fleet& fleet, store_caller caller, const platform_reply& reply)
+inline void receive_platform_reply(
+    fake_fleet& fleet, store_caller caller, const platform_reply& reply)
 {
-    const std::size_t place = caller & 0xffffffff;
-    if (place >= fleet.nodes.size())
+    const std::size_t node_index = caller & 0xffffffff;
+    if (node_index >= fleet.nodes.size())
     {
         return;
     }
-    fleet_node& node = fleet.nodes[place];
-    if (!node.running || caller != caller_of(node, place))
+    fleet_node& node = fleet.nodes[node_index];
+    if (!node.running || caller != caller_of(node, node_index))
     {
         return;
     }
@@ -355,13 +358,13 @@
         chain_on_platform_reply(
             *node.chain, *node.membership, reply, local, node.random, actions);
     }
-    carry_out(fleet, place, actions);
+    perform_actions(fleet, node_index, actions);
 }
 
 inline void run_event(fake_fleet& fleet, fleet_event happened)
 {
     fleet_node& node = fleet.nodes[happened.node];
-    if (!node.running || happened.life != node.life)
+    if (!node.running || happened.incarnation != node.incarnation)
     {
         return;
     }
@@ -378,9 +381,9 @@
         deliver(fleet, happened);
         return;
     }
-    if (happened.at == node.wake_at)
+    if (happened.at == node.next_tick_at)
     {
-        node.wake_at = time_point::max();
+        node.next_tick_at = time_point::max();
         tick_node(fleet, happened.node);
     }
 }
@@ -402,7 +405,7 @@
         fleet.now = std::max(fleet.now, next);
         for (const auto& answer : store_poll(fleet.platform, fleet.now))
         {
-            take_reply(fleet, answer.caller, answer.reply);
+            receive_platform_reply(fleet, answer.caller, answer.reply);
         }
         if (next_event <= fleet.now && !fleet.queue.empty())
         {
@@ -439,22 +442,23 @@
     return true;
 }
 
-// Lets a node's subsystem act outside of events.
-inline void
-act(fake_fleet& fleet, std::size_t place,
+// Lets a node's subsystem run_on_node outside of events.
+inline void run_on_node(
+    fake_fleet& fleet, std::size_t node_index,
     const std::function<void(
         fleet_node&, time_point, random_source&, control_actions&)>& action)
 {
-    fleet_node& node = fleet.nodes[place];
+    fleet_node& node = fleet.nodes[node_index];
     control_actions actions;
     action(node, local_time(node, fleet.now), node.random, actions);
-    carry_out(fleet, place, actions);
+    perform_actions(fleet, node_index, actions);
 }
 
-inline void
-announce(fake_fleet& fleet, std::size_t place, const upstream_record& record)
+inline void set_node_upstream(
+    fake_fleet& fleet, std::size_t node_index, const upstream_record& record)
 {
-    act(fleet, place,
+    run_on_node(
+        fleet, node_index,
         [&](fleet_node& node, time_point now, random_source& random,
             control_actions& actions)
         {
@@ -513,10 +517,10 @@
     fake_fleet& fleet, const std::vector<std::string>& data_centres,
     std::size_t count)
 {
-    for (std::size_t place = 0; place < count; ++place)
+    for (std::size_t node_index = 0; node_index < count; ++node_index)
     {
         const auto added =
-            add_node(fleet, data_centres[place % data_centres.size()]);
+            add_node(fleet, data_centres[node_index % data_centres.size()]);
         start_node(fleet, added);
     }
 }
--- a/tests/support/fleet_calls.hpp
+++ b/tests/support/fleet_calls.hpp
@@ -17,7 +17,7 @@
 {
     std::uint64_t id = 0;
     host_id entry = host_id::none;
-    std::uint64_t entry_life = 0;
+    std::uint64_t entry_incarnation = 0;
     call_request request;
     call_state state;
     // The attempt that is under way; answers of earlier ones are late.
@@ -25,13 +25,13 @@
     std::uint32_t runs = 0;
     bool ended = false;
     refusal reason = refusal::none;
-    outcome told = outcome::unknown;
+    outcome reported_outcome = outcome::unknown;
 };
 
 struct upstream_run
 {
     host_id host = host_id::none;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::uint64_t call = 0;
     std::uint32_t attempt = 0;
 };
@@ -43,13 +43,13 @@
     {
         fleet.on_started = [this](virtual_node& node)
         {
-            set_up(node);
+            set_up_node(node);
         };
         fleet.on_token =
             [this](virtual_node& node, token_waiter waiter, bool admitted)
         {
             auto& call = calls.at(waiter);
-            step(
+            perform_step(
                 node, call,
                 call_on_token(
                     *node.path, call.state, admitted, fleet_.local_now(node),
@@ -58,7 +58,7 @@
         fleet.on_claim = [this](virtual_node& node, const claim_answer& answer)
         {
             auto& call = calls.at(answer.token);
-            step(
+            perform_step(
                 node, call,
                 call_on_claim(
                     *node.path, call.state, answer, fleet_.local_now(node),
@@ -77,7 +77,7 @@
         virtual_node& node, const std::string& idempotency_key,
         std::string_view key)
     {
-        if (!node.up || fleet_.paused(node))
+        if (!node.up || fleet_.is_paused(node))
         {
             return;
         }
@@ -85,18 +85,18 @@
         virtual_call& call = calls[id];
         call.id = id;
         call.entry = node.host;
-        call.entry_life = node.life;
+        call.entry_incarnation = node.incarnation;
         call.state.id = id;
         call.request.method = "POST";
         call.request.target = "/book";
         call.request.key = std::string(key);
         call.request.idempotency_key = idempotency_key;
-        step(
+        perform_step(
             node, call,
             begin_call(
                 *node.path, call.state, call.request, fleet_.local_now(node),
                 node.random));
-        if (key == stranger_key &&
+        if (key == invalid_key &&
             (!call.ended || call.reason != refusal::unauthenticated))
         {
             violation = "a wrong key was accepted";
@@ -104,7 +104,7 @@
     }
 
 private:
-    void set_up(virtual_node& node)
+    void set_up_node(virtual_node& node)
     {
         node.path->fleet_secret = "fleet";
         node.path->tables.publish(std::make_unique<const request_tables>(
@@ -113,7 +113,7 @@
         for (const auto& [host, other] : fleet_.nodes)
         {
             locations.push_back(
-                {host, other->life, other->data_centre, upstream()});
+                {host, other->incarnation, other->data_centre, upstream()});
         }
         node.path->routing.publish(std::make_unique<const routing_view>(
             build_routing_view(locations, node.data_centre, routing_view{})));
@@ -137,20 +137,21 @@
         return {"bookings", upstream_state::serving, 50, 100, 1};
     }
 
-    bool entry_lives(const virtual_call& call) const
+    bool is_entry_running(const virtual_call& call) const
     {
         const virtual_node& node = *fleet_.nodes.at(call.entry);
-        return node.up && node.life == call.entry_life;
+        return node.up && node.incarnation == call.entry_incarnation;
     }
 
-    void step(virtual_node& node, virtual_call& call, const call_step& next)
+    void
+    perform_step(virtual_node& node, virtual_call& call, const call_step& next)
     {
         switch (next.kind)
         {
         case call_step_kind::wait_for_token:
             return;
         case call_step_kind::request_claim:
-            fleet_.act(
+            fleet_.run_on_node(
                 node,
                 [&](control_state& control, time_point now,
                     random_source& random, control_actions& actions)
@@ -191,12 +192,13 @@
     }
 
     void
-    end(virtual_node& node, virtual_call& call, refusal reason, outcome told)
+    end(virtual_node& node, virtual_call& call, refusal reason,
+        outcome reported_outcome)
     {
         call.ended = true;
         call.reason = reason;
-        call.told = told;
-        if (told == outcome::not_run && call.runs > 0)
+        call.reported_outcome = reported_outcome;
+        if (reported_outcome == outcome::not_run && call.runs > 0)
         {
             violation = "not-run was said of a request that ran";
         }
@@ -209,9 +211,9 @@
         completion.grant = call.state.context.claim;
         completion.workspace = call.state.context.workspace;
         completion.idempotency_key = call.request.idempotency_key;
-        completion.result = told;
+        completion.result = reported_outcome;
         completion.reply = {200, "text/plain", reply_of(call)};
-        fleet_.act(
+        fleet_.run_on_node(
             node,
             [&](control_state& control, time_point now, random_source& random,
                 control_actions& actions)
@@ -263,13 +265,13 @@
             return;
         }
         const gate_entry_id entry_id = ++last_entry_id_;
-        runs_[entry_id] = {target.host, target.life, id, attempt};
-        take(
+        runs_[entry_id] = {target.host, target.incarnation, id, attempt};
+        apply_decisions(
             target,
             gate_offer(gates_[target.host], {entry_id, context, local}, local));
     }
 
-    void take(virtual_node& target, const gate_decisions& decisions)
+    void apply_decisions(virtual_node& target, const gate_decisions& decisions)
     {
         for (const auto& decision : decisions)
         {
@@ -279,7 +281,7 @@
                 refuse(target, run.call, run.attempt, decision.reason);
                 continue;
             }
-            note_run(run);
+            record_run(run);
             const duration service =
                 std::chrono::milliseconds(5 + random_below(fleet_.random, 60));
             fleet_.network.at(
@@ -291,11 +293,11 @@
         }
     }
 
-    void note_run(const upstream_run& run)
+    void record_run(const upstream_run& run)
     {
         virtual_call& call = calls.at(run.call);
         ++call.runs;
-        if (call.ended && call.told == outcome::not_run)
+        if (call.ended && call.reported_outcome == outcome::not_run)
         {
             violation = "a request ran after not-run was said";
         }
@@ -310,11 +312,11 @@
     {
         const upstream_run run = runs_.at(entry_id);
         virtual_node& target = *fleet_.nodes.at(run.host);
-        if (!target.up || target.life != run.life)
+        if (!target.up || target.incarnation != run.incarnation)
         {
             return;
         }
-        take(
+        apply_decisions(
             target, gate_finish(
                         gates_[run.host], entry_id, gate_result::replied,
                         fleet_.local_now(target)));
@@ -349,11 +351,11 @@
     {
         virtual_call& call = calls.at(id);
         virtual_node& node = *fleet_.nodes.at(call.entry);
-        if (call.ended || call.attempt != attempt || !entry_lives(call))
+        if (call.ended || call.attempt != attempt || !is_entry_running(call))
         {
             return;
         }
-        if (fleet_.paused(node))
+        if (fleet_.is_paused(node))
         {
             fleet_.network.at(
                 node.paused_until,
@@ -363,7 +365,7 @@
                 });
             return;
         }
-        step(
+        perform_step(
             node, call,
             call_on_attempt(
                 *node.path, call.state, result, fleet_.local_now(node),
--- a/tests/support/fleet_faults.hpp
+++ b/tests/support/fleet_faults.hpp
@@ -57,16 +57,16 @@
     std::set<host_id> nodes;
 };
 
-inline virtual_node& node_number(virtual_fleet& fleet, std::size_t number)
+inline virtual_node& node_at(virtual_fleet& fleet, std::size_t number)
 {
     auto entry = fleet.nodes.begin();
     std::advance(entry, number % fleet.nodes.size());
     return *entry->second;
 }
 
-inline void watch_cuts(virtual_fleet& fleet, const fleet_cuts& cuts)
+inline void install_cuts(virtual_fleet& fleet, const fleet_cuts& cuts)
 {
-    fleet.network.connected =
+    fleet.network.is_link_up =
         [&cuts](const virtual_node& from, const virtual_node& to)
     {
         if (cuts.nodes.contains(from.host) || cuts.nodes.contains(to.host) ||
@@ -88,7 +88,7 @@
 inline void
 apply_fault(virtual_fleet& fleet, fleet_cuts& cuts, const fleet_fault& fault)
 {
-    virtual_node& node = node_number(fleet, fault.node);
+    virtual_node& node = node_at(fleet, fault.node);
     switch (fault.kind)
     {
     case fault_kind::crash:
@@ -106,7 +106,7 @@
         return;
     case fault_kind::pause:
         fleet.pause(node, std::chrono::milliseconds(fault.milliseconds * 5));
-        node.out_of_reach_since = fleet.now();
+        node.unreachable_since = fleet.now();
         return;
     case fault_kind::cut_data_centre:
         cuts.data_centres.insert(node.data_centre);
@@ -116,11 +116,11 @@
         return;
     case fault_kind::cut_one_way:
         cuts.one_way.insert(node.host);
-        node.out_of_reach_since = fleet.now();
+        node.unreachable_since = fleet.now();
         return;
     case fault_kind::cut_node:
         cuts.nodes.insert(node.host);
-        node.out_of_reach_since = fleet.now();
+        node.unreachable_since = fleet.now();
         return;
     case fault_kind::platform_down:
         fleet.platform.faults.down = true;
@@ -133,7 +133,7 @@
         fleet.platform.faults = {};
         for (const auto& [host, other] : fleet.nodes)
         {
-            other->out_of_reach_since = time_point::max();
+            other->unreachable_since = time_point::max();
         }
         return;
     case fault_kind::none:
--- a/tests/support/virtual_baselines.hpp
+++ b/tests/support/virtual_baselines.hpp
@@ -14,14 +14,14 @@
 
 // A random upstream in the data centre, or anywhere when there is none.
 inline std::size_t
-plain_upstream(call_fleet& fleet, std::size_t node, std::size_t service)
+baseline_upstream(call_fleet& fleet, std::size_t node, std::size_t service)
 {
     std::vector<std::size_t> local;
     std::vector<std::size_t> any;
     for (std::size_t i = 0; i < fleet.hosts.size(); ++i)
     {
         const virtual_host& host = *fleet.hosts[i];
-        if (host.service != service || !host.alive)
+        if (host.service != service || !host.is_up)
         {
             continue;
         }
@@ -35,7 +35,7 @@
     return choice[random_below(fleet.random, choice.size())];
 }
 
-inline void start_fixed(call_fleet& fleet, virtual_host& host)
+inline void start_fixed_limit(call_fleet& fleet, virtual_host& host)
 {
     const auto limit = fleet.deployment.services[host.service].announced_slots;
     while (!host.fixed_queue.empty() && host.fixed_running < limit)
@@ -51,7 +51,7 @@
     }
 }
 
-inline void refuse_plain(const attempt_pointer& attempt)
+inline void refuse_baseline(const attempt_pointer& attempt)
 {
     attempt->ended = true;
     attempt_result result;
@@ -60,14 +60,14 @@
     attempt->done(result);
 }
 
-inline void arrive_plain(call_fleet& fleet, const attempt_pointer& attempt)
+inline void arrive_baseline(call_fleet& fleet, const attempt_pointer& attempt)
 {
     virtual_host& host = *fleet.hosts[attempt->host];
     const service_model& service = fleet.deployment.services[host.service];
     ++fleet.result.attempts[host.service];
-    if (!host.alive)
+    if (!host.is_up)
     {
-        refuse_plain(attempt);
+        refuse_baseline(attempt);
         return;
     }
     if (fleet.policy == overload_policy::pass_through)
@@ -76,7 +76,7 @@
             host.upstream.waiting.size() + host.upstream.busy;
         if (open >= service.connections)
         {
-            refuse_plain(attempt);
+            refuse_baseline(attempt);
             return;
         }
         start_at_upstream(fleet, host, attempt);
@@ -84,7 +84,7 @@
     }
     if (host.fixed_queue.size() >= fixed_queue_factor * service.announced_slots)
     {
-        refuse_plain(attempt);
+        refuse_baseline(attempt);
         return;
     }
     run_after(
@@ -94,15 +94,16 @@
             expire_attempt(fleet, attempt);
         });
     host.fixed_queue.push_back(attempt);
-    start_fixed(fleet, host);
+    start_fixed_limit(fleet, host);
 }
 
-inline void start_plain_call(
-    call_fleet& fleet, const plain_call& call, std::function<void(bool)> done)
+inline void start_baseline_call(
+    call_fleet& fleet, const baseline_call& call,
+    std::function<void(bool)> done)
 {
     const auto& chain = fleet.deployment.routes[call.route].chain;
     const auto attempt = std::make_shared<virtual_attempt>();
-    attempt->host = plain_upstream(fleet, call.node, chain[call.position]);
+    attempt->host = baseline_upstream(fleet, call.node, chain[call.position]);
     attempt->entry_id = fleet.next_id++;
     attempt->context.deadline = call.deadline;
     attempt->route = call.route;
@@ -137,7 +138,7 @@
         fleet.clock, delay,
         [&fleet, attempt]()
         {
-            arrive_plain(fleet, attempt);
+            arrive_baseline(fleet, attempt);
         });
 }
 
--- a/tests/support/virtual_calls.hpp
+++ b/tests/support/virtual_calls.hpp
@@ -26,7 +26,7 @@
 using call_pointer = std::shared_ptr<virtual_call>;
 
 // A call under one of the two policies that this project is compared with.
-struct plain_call
+struct baseline_call
 {
     std::size_t node = 0;
     std::size_t route = 0;
@@ -34,8 +34,9 @@
     time_point deadline{};
 };
 
-void start_plain_call(
-    call_fleet& fleet, const plain_call& call, std::function<void(bool)> done);
+void start_baseline_call(
+    call_fleet& fleet, const baseline_call& call,
+    std::function<void(bool)> done);
 void run_step(
     call_fleet& fleet, const call_pointer& call, const call_step& step);
 void start_call(
@@ -51,11 +52,11 @@
                : remote_delay;
 }
 
-void take_decisions(
+void apply_gate_decisions(
     call_fleet& fleet, virtual_host& host, const gate_decisions& decisions);
 
 // For the fixed limit: starts what waits, first come first served.
-void start_fixed(call_fleet& fleet, virtual_host& host);
+void start_fixed_limit(call_fleet& fleet, virtual_host& host);
 
 // Ends an attempt at its host; the caller's node learns it after the delay
 // that `done` adds.
@@ -84,11 +85,11 @@
         result.load->downstream = attempt->record->downstream.read();
     }
     attempt->done(result);
-    take_decisions(fleet, host, decisions);
+    apply_gate_decisions(fleet, host, decisions);
     if (attempt->started && fleet.policy == overload_policy::fixed_limit)
     {
         --host.fixed_running;
-        start_fixed(fleet, host);
+        start_fixed_limit(fleet, host);
     }
 }
 
@@ -116,9 +117,9 @@
 }
 
 // The upstream has done its own work and calls the next service, if any.
-inline void call_below(call_fleet& fleet, const attempt_pointer& attempt)
+inline void call_next_service(call_fleet& fleet, const attempt_pointer& attempt)
 {
-    if (attempt->ended || !fleet.hosts[attempt->host]->alive)
+    if (attempt->ended || !fleet.hosts[attempt->host]->is_up)
     {
         return;
     }
@@ -166,7 +167,7 @@
             fleet.clock, from_seconds(to_seconds(mean) * factor),
             [&fleet, attempt]()
             {
-                call_below(fleet, attempt);
+                call_next_service(fleet, attempt);
             });
     }
 }
@@ -179,7 +180,7 @@
     serve_next(fleet, host);
 }
 
-inline void take_decisions(
+inline void apply_gate_decisions(
     call_fleet& fleet, virtual_host& host, const gate_decisions& decisions)
 {
     for (const auto& [entry_id, reason] : decisions)
@@ -222,7 +223,7 @@
         const auto decisions =
             gate_cancel(host.gate, attempt->entry_id, fleet.clock.now);
         end_attempt(fleet, attempt, result, gate_result::cancelled);
-        take_decisions(fleet, host, decisions);
+        apply_gate_decisions(fleet, host, decisions);
         return;
     }
     release_slot(fleet, attempt);
@@ -233,7 +234,7 @@
 {
     virtual_host& host = *fleet.hosts[attempt->host];
     ++fleet.result.attempts[host.service];
-    if (!host.alive)
+    if (!host.is_up)
     {
         attempt->ended = true;
         attempt_result result;
@@ -251,7 +252,7 @@
     gate_request request;
     request.entry_id = attempt->entry_id;
     request.context = attempt->context;
-    take_decisions(
+    apply_gate_decisions(
         fleet, host,
         gate_offer(host.gate, std::move(request), fleet.clock.now));
 }
@@ -320,7 +321,7 @@
     {
         const time_point deadline =
             request.parent ? request.parent->deadline : fleet.clock.now + 2s;
-        start_plain_call(fleet, {node, route, position, deadline}, done);
+        start_baseline_call(fleet, {node, route, position, deadline}, done);
         return;
     }
     const auto call = std::make_shared<virtual_call>();
--- a/tests/support/virtual_clock.hpp
+++ b/tests/support/virtual_clock.hpp
@@ -19,7 +19,7 @@
     std::function<void()> action;
 };
 
-struct later_event
+struct later_virtual_event
 {
     bool operator()(const virtual_event& left, const virtual_event& right) const
     {
@@ -32,7 +32,8 @@
 {
     time_point now{1000s};
     std::uint64_t next_sequence = 0;
-    std::priority_queue<virtual_event, std::vector<virtual_event>, later_event>
+    std::priority_queue<
+        virtual_event, std::vector<virtual_event>, later_virtual_event>
         events;
 };
 
--- a/tests/support/virtual_fleet.hpp
+++ b/tests/support/virtual_fleet.hpp
@@ -26,7 +26,7 @@
         std::make_shared<const configuration>();
     std::function<bool(const virtual_node&)> platform_reachable;
     // Called after each event of a node.
-    std::function<void(virtual_node&)> after_step;
+    std::function<void(virtual_node&)> after_event;
     // Called when a node has started, and when a waiter that is not the
     // fleet's own got its verdict.
     std::function<void(virtual_node&)> on_started;
@@ -53,15 +53,15 @@
     void start(virtual_node& node)
     {
         node.up = true;
-        ++node.life;
+        ++node.incarnation;
         node.paused_until = now();
-        node.out_of_reach_since = time_point::max();
+        node.unreachable_since = time_point::max();
         node.random.seed(random());
         node.path = std::make_unique<request_path>();
         node.path->self = node.host;
         node.path->limiter.on_waiting = [&node]
         {
-            node.wants_tick = true;
+            node.tick_requested = true;
         };
         node.waiting.clear();
         node.control = std::make_unique<control_state>();
@@ -88,7 +88,7 @@
         control_start(
             *node.control, chosen, node.path->limiter, wall_ms(node),
             local_now(node), node.random, actions);
-        carry_out(node, actions);
+        perform_actions(node, actions);
         if (on_started)
         {
             on_started(node);
@@ -117,9 +117,9 @@
     }
 
     // One request of a workspace arrives at a node.
-    void offer(virtual_node& node, workspace_id workspace, duration patience)
+    void offer(virtual_node& node, workspace_id workspace, duration max_wait)
     {
-        if (!node.up || paused(node))
+        if (!node.up || is_paused(node))
         {
             return;
         }
@@ -128,10 +128,10 @@
         const token_waiter waiter = ++last_waiter_;
         const time_point local = local_now(node);
         const auto answer = take_token(
-            node.path->limiter, workspace, waiter, local + patience, local);
+            node.path->limiter, workspace, waiter, local + max_wait, local);
         if (answer.verdict == token_verdict::admitted)
         {
-            note_admission(oracles[workspace], now());
+            record_admission(oracles[workspace], now());
         }
         else if (answer.verdict == token_verdict::refused)
         {
@@ -141,7 +141,7 @@
         {
             node.waiting[waiter] = workspace;
         }
-        if (node.wants_tick)
+        if (node.tick_requested)
         {
             tick(node);
         }
@@ -149,12 +149,12 @@
 
     // Carries out what one of the node's control functions asked for.
     template <class Function>
-    void act(virtual_node& node, Function function)
+    void run_on_node(virtual_node& node, Function function)
     {
         control_actions actions;
         function(*node.control, local_now(node), node.random, actions);
-        carry_out(node, actions);
-        finish_step(node);
+        perform_actions(node, actions);
+        finish_event(node);
     }
 
     void run_for(duration time)
@@ -181,7 +181,7 @@
         network.advance_to(until);
     }
 
-    [[nodiscard]] bool paused(const virtual_node& node) const
+    [[nodiscard]] bool is_paused(const virtual_node& node) const
     {
         return node.paused_until > now();
     }
@@ -197,41 +197,42 @@
 private:
     static store_caller caller_of(const virtual_node& node)
     {
-        return (static_cast<std::uint64_t>(node.host) << 12) | node.life;
+        return (static_cast<std::uint64_t>(node.host) << 12) | node.incarnation;
     }
 
     void schedule_tick(virtual_node& node, time_point when)
     {
         network.at(
             when,
-            [this, &node, life = node.life]
+            [this, &node, incarnation = node.incarnation]
             {
-                if (!node.up || node.life != life)
+                if (!node.up || node.incarnation != incarnation)
                 {
                     return;
                 }
-                if (paused(node))
+                if (is_paused(node))
                 {
                     schedule_tick(node, node.paused_until);
                     return;
                 }
                 tick(node);
                 const time_point due = true_time(
-                    node, due_of(*node.control, options_.given_members), now());
+                    node, due_of(*node.control, options_.static_members),
+                    now());
                 schedule_tick(node, std::max(due, now() + 1ms));
             });
     }
 
     void tick(virtual_node& node)
     {
-        node.wants_tick = false;
+        node.tick_requested = false;
         control_state& control = *node.control;
         control.chain.current = settings;
         const time_point local = local_now(node);
         control_actions actions;
-        if (options_.given_members)
+        if (options_.static_members)
         {
-            show_members(nodes, node, options_.detection, now());
+            update_static_members(nodes, node, options_.detection_time, now());
             control.wall_clock_ms = wall_ms(node);
             rates_tick(
                 control.rates, inputs_of_rates(control), local, node.random,
@@ -244,21 +245,21 @@
         {
             control_tick(control, wall_ms(node), local, node.random, actions);
         }
-        carry_out(node, actions);
-        finish_step(node);
+        perform_actions(node, actions);
+        finish_event(node);
     }
 
-    void finish_step(virtual_node& node)
+    void finish_event(virtual_node& node)
     {
         const auto results =
             settle_waiters(node.path->limiter, local_now(node));
         for (const token_waiter waiter : results.admitted)
         {
-            settle(node, waiter, true);
+            resolve_waiter(node, waiter, true);
         }
         for (const token_waiter waiter : results.expired)
         {
-            settle(node, waiter, false);
+            resolve_waiter(node, waiter, false);
         }
         std::vector<claim_answer> answers;
         answers.swap(node.control->claims.answers);
@@ -269,13 +270,13 @@
                 on_claim(node, answer);
             }
         }
-        if (after_step)
+        if (after_event)
         {
-            after_step(node);
+            after_event(node);
         }
     }
 
-    void settle(virtual_node& node, token_waiter waiter, bool admitted)
+    void resolve_waiter(virtual_node& node, token_waiter waiter, bool admitted)
     {
         const auto found = node.waiting.find(waiter);
         if (found == node.waiting.end())
@@ -290,7 +291,7 @@
         node.waiting.erase(found);
         if (admitted)
         {
-            note_admission(oracles[workspace], now());
+            record_admission(oracles[workspace], now());
         }
         else
         {
@@ -298,7 +299,7 @@
         }
     }
 
-    void carry_out(virtual_node& node, control_actions& actions)
+    void perform_actions(virtual_node& node, control_actions& actions)
     {
         for (auto& message : actions.messages)
         {
@@ -316,9 +317,9 @@
                 reply.status = platform_status::unavailable;
                 network.at(
                     now() + call.timeout,
-                    [this, &node, life = node.life, reply]
+                    [this, &node, incarnation = node.incarnation, reply]
                     {
-                        reply_to(node, life, reply);
+                        reply_to(node, incarnation, reply);
                     });
                 continue;
             }
@@ -351,8 +352,8 @@
         control_on_message(
             *to.control, {from.host, message.kind, message.payload},
             local_now(to), to.random, actions);
-        carry_out(to, actions);
-        finish_step(to);
+        perform_actions(to, actions);
+        finish_event(to);
     }
 
     void poll_platform()
@@ -363,34 +364,35 @@
             {
                 if (caller_of(*node) == answer.caller)
                 {
-                    reply_to(*node, node->life, answer.reply);
+                    reply_to(*node, node->incarnation, answer.reply);
                 }
             }
         }
     }
 
     void reply_to(
-        virtual_node& node, std::uint64_t life, const platform_reply& reply)
+        virtual_node& node, std::uint64_t incarnation,
+        const platform_reply& reply)
     {
-        if (!node.up || node.life != life)
+        if (!node.up || node.incarnation != incarnation)
         {
             return;
         }
-        if (paused(node))
+        if (is_paused(node))
         {
             network.at(
                 node.paused_until,
-                [this, &node, life, reply]
+                [this, &node, incarnation, reply]
                 {
-                    reply_to(node, life, reply);
+                    reply_to(node, incarnation, reply);
                 });
             return;
         }
         control_actions actions;
         control_on_platform_reply(
             *node.control, reply, local_now(node), node.random, actions);
-        carry_out(node, actions);
-        finish_step(node);
+        perform_actions(node, actions);
+        finish_event(node);
     }
 
     fleet_options options_;
--- a/tests/support/virtual_model.hpp
+++ b/tests/support/virtual_model.hpp
@@ -67,7 +67,7 @@
     double route_surge = 1.0;
     std::size_t surging_workspace = no_index;
     double workspace_surge = 1.0;
-    std::size_t dead_data_centre = no_index;
+    std::size_t failed_data_centre = no_index;
     duration trigger_start = 5s;
     duration trigger_end = 15s;
     duration length = 20s;
--- a/tests/support/virtual_network.hpp
+++ b/tests/support/virtual_network.hpp
@@ -49,7 +49,7 @@
     }
 
     // True when a message may pass; tests set partitions here.
-    std::function<bool(const virtual_node&, const virtual_node&)> connected;
+    std::function<bool(const virtual_node&, const virtual_node&)> is_link_up;
 
     void set_faults(const link_faults& faults)
     {
@@ -114,11 +114,12 @@
     {
         const auto span = static_cast<std::uint64_t>(
             (faults_.longest_delay - faults_.shortest_delay).count());
-        const duration held_up = random_fraction(random_) < faults_.late
-                                     ? from_seconds(
-                                           random_fraction(random_) *
-                                           to_seconds(faults_.longest_late))
-                                     : duration::zero();
+        const duration held_up =
+            random_fraction(random_) < faults_.extra_delay_probability
+                ? from_seconds(
+                      random_fraction(random_) *
+                      to_seconds(faults_.longest_extra_delay))
+                : duration::zero();
         return faults_.shortest_delay + held_up +
                duration(random_below(random_, span + 1));
     }
@@ -130,7 +131,7 @@
         at(when,
            [this, &from, &to, arrive]
            {
-               if (connected && !connected(from, to))
+               if (is_link_up && !is_link_up(from, to))
                {
                    return;
                }
--- a/tests/support/virtual_node.hpp
+++ b/tests/support/virtual_node.hpp
@@ -26,20 +26,20 @@
     duration shortest_delay = 500us;
     duration longest_delay = 1500us;
     // A message, and on a stream all behind it, is held up for some time.
-    double late = 0.0;
-    duration longest_late = 3s;
+    double extra_delay_probability = 0.0;
+    duration longest_extra_delay = 3s;
 };
 
 struct fleet_options
 {
     std::uint64_t seed = 1;
     std::uint32_t data_centres = 3;
-    std::uint32_t hosts_each = 4;
+    std::uint32_t hosts_per_data_centre = 4;
     double largest_drift = 200e-6;
     // Members are known from the start, without membership messages; a host
-    // that is down is seen as dead after `detection`.
-    bool given_members = true;
-    duration detection = 3s;
+    // that is down is seen as dead after `detection_time`.
+    bool static_members = true;
+    duration detection_time = 3s;
     rates_settings rates;
     claims_settings claims;
     link_faults links;
@@ -55,15 +55,15 @@
     duration offset{};
     std::uint64_t wall_offset_ms = 0;
     bool up = false;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     time_point down_since{};
     time_point paused_until{};
     // Paused or cut off since then; others see it as dead.
-    time_point out_of_reach_since = time_point::max();
+    time_point unreachable_since = time_point::max();
     random_source random;
     std::unique_ptr<request_path> path;
     std::unique_ptr<control_state> control;
-    bool wants_tick = false;
+    bool tick_requested = false;
     std::uint64_t messages_sent = 0;
     std::uint64_t bytes_sent = 0;
     // Requests under way that wait for a token.
@@ -84,7 +84,7 @@
     std::uint64_t refused = 0;
 };
 
-inline void note_admission(rate_oracle& oracle, time_point now)
+inline void record_admission(rate_oracle& oracle, time_point now)
 {
     ++oracle.admitted;
     oracle.level =
@@ -104,7 +104,8 @@
     for (std::uint32_t centre = 0; centre < options.data_centres; ++centre)
     {
         const std::string name = "dc" + std::to_string(centre);
-        for (std::uint32_t host = 0; host < options.hosts_each; ++host)
+        for (std::uint32_t host = 0; host < options.hosts_per_data_centre;
+             ++host)
         {
             auto node = std::make_unique<virtual_node>();
             node->host =
@@ -124,42 +125,42 @@
 
 // When the node's control functions are due.
 [[nodiscard]] inline time_point
-due_of(const control_state& control, bool given_members)
+due_of(const control_state& control, bool static_members)
 {
-    return given_members
+    return static_members
                ? std::min(rates_due(control.rates), claims_due(control.claims))
                : control_due(control);
 }
 
 // Gives a node the members it would have learned, a host that is down being
-// seen as dead after `detection`.
-inline void show_members(
-    const virtual_nodes& nodes, virtual_node& node, duration detection,
+// seen as dead after `detection_time`.
+inline void update_static_members(
+    const virtual_nodes& nodes, virtual_node& node, duration detection_time,
     time_point now)
 {
     auto& view = node.control->membership;
     bool changed = false;
     for (const auto& [host, other] : nodes)
     {
-        if (host == node.host || other->life == 0)
+        if (host == node.host || other->incarnation == 0)
         {
             continue;
         }
         member& entry = view.members[host];
         const time_point away_since =
-            other->up ? other->out_of_reach_since : other->down_since;
-        const bool dead = away_since < now && now - away_since > detection;
+            other->up ? other->unreachable_since : other->down_since;
+        const bool dead = away_since < now && now - away_since > detection_time;
         const member_state state =
             dead ? member_state::dead : member_state::alive;
-        const auto life = other->control
-                              ? other->control->membership.self_incarnation
-                              : entry.host_incarnation;
+        const auto incarnation =
+            other->control ? other->control->membership.self_incarnation
+                           : entry.host_incarnation;
         changed = changed || entry.host != host || entry.state != state ||
-                  entry.host_incarnation != life;
+                  entry.host_incarnation != incarnation;
         entry.host = host;
         entry.state = state;
         entry.data_centre = other->data_centre;
-        entry.host_incarnation = life;
+        entry.host_incarnation = incarnation;
     }
     view.version += changed ? 1 : 0;
 }
@@ -181,7 +182,7 @@
 }
 
 inline constexpr std::string_view museum_key = "cyk_m1_museum-secret";
-inline constexpr std::string_view stranger_key = "cyk_m1_guessed-secret";
+inline constexpr std::string_view invalid_key = "cyk_m1_guessed-secret";
 
 // Adds the workspace, key and route that the calls use.
 [[nodiscard]] inline configuration with_bookings(configuration current)
--- a/tests/support/virtual_report.hpp
+++ b/tests/support/virtual_report.hpp
@@ -55,11 +55,11 @@
     const deployment_model& deployment, const scenario_model& scenario,
     const std::vector<double>& demand)
 {
-    const std::size_t dead = scenario.dead_data_centre == no_index ? 0 : 1;
-    std::vector<double> room;
+    const std::size_t dead = scenario.failed_data_centre == no_index ? 0 : 1;
+    std::vector<double> free_slots;
     for (const auto& service : deployment.services)
     {
-        room.push_back(static_cast<double>(
+        free_slots.push_back(static_cast<double>(
             service.slots * deployment.workers_per_data_centre *
             (deployment.data_centres - dead)));
     }
@@ -74,12 +74,12 @@
         {
             if (costs[s] > 0.0)
             {
-                rate = std::min(rate, std::max(0.0, room[s]) / costs[s]);
+                rate = std::min(rate, std::max(0.0, free_slots[s]) / costs[s]);
             }
         }
         for (std::size_t s = 0; s < costs.size(); ++s)
         {
-            room[s] -= rate * costs[s];
+            free_slots[s] -= rate * costs[s];
         }
         possible.push_back(rate);
     }
--- a/tests/support/virtual_run.hpp
+++ b/tests/support/virtual_run.hpp
@@ -9,7 +9,7 @@
 namespace cyclamenhold
 {
 
-inline bool trigger_is_on(const call_fleet& fleet)
+inline bool is_trigger_active(const call_fleet& fleet)
 {
     const duration elapsed = fleet.clock.now - fleet.result.started;
     return elapsed >= fleet.scenario.trigger_start &&
@@ -36,13 +36,13 @@
 }
 
 // The workspace's own rate, kept exactly for the whole fleet.
-inline bool take_rate(call_fleet& fleet, std::size_t workspace)
+inline bool take_rate_token(call_fleet& fleet, std::size_t workspace)
 {
     const deployment_model& deployment = fleet.deployment;
     const double rate = deployment.demand *
                         deployment.workspaces[workspace].share *
                         fleet.scenario.rate_multiple;
-    workspace_tokens& entry = fleet.rates[workspace];
+    workspace_bucket& entry = fleet.rates[workspace];
     const double elapsed = to_seconds(fleet.clock.now - entry.at);
     entry.tokens = std::min(rate / 2, entry.tokens + rate * elapsed);
     entry.at = fleet.clock.now;
@@ -65,7 +65,7 @@
                   std::to_string(index);
     call.key = key_of(request.workspace);
     std::size_t node = random_below(fleet.random, fleet.hosts.size());
-    while (!fleet.hosts[node]->alive)
+    while (!fleet.hosts[node]->is_up)
     {
         node = random_below(fleet.random, fleet.hosts.size());
     }
@@ -105,9 +105,9 @@
         [&fleet, route, workspace, peak]()
         {
             const double present =
-                demand_of(fleet, route, workspace, trigger_is_on(fleet));
+                demand_of(fleet, route, workspace, is_trigger_active(fleet));
             const bool wanted = random_fraction(fleet.random) * peak < present;
-            if (wanted && take_rate(fleet, workspace))
+            if (wanted && take_rate_token(fleet, workspace))
             {
                 fleet.result.requests.push_back(
                     {fleet.clock.now, {}, route, workspace, false});
@@ -125,16 +125,17 @@
         fleet.clock, 10ms,
         [&fleet, &host]()
         {
-            take_decisions(fleet, host, gate_tick(host.gate, fleet.clock.now));
+            apply_gate_decisions(
+                fleet, host, gate_tick(host.gate, fleet.clock.now));
             schedule_tick(fleet, host);
         });
 }
 
 // All that runs at the host ends without a word; the others learn of the death
 // after the suspicion time.
-inline void kill_host(call_fleet& fleet, virtual_host& host)
+inline void crash_host(call_fleet& fleet, virtual_host& host)
 {
-    host.alive = false;
+    host.is_up = false;
     const auto attempts = std::exchange(host.attempts, {});
     for (const auto& [entry_id, attempt] : attempts)
     {
@@ -151,13 +152,13 @@
     host.fixed_running = 0;
 }
 
-inline void revive_host(call_fleet& fleet, virtual_host& host)
+inline void restart_host(call_fleet& fleet, virtual_host& host)
 {
-    host.alive = true;
+    host.is_up = true;
     (void)gate_set_upstream(host.gate, record_of(fleet, host), fleet.clock.now);
 }
 
-inline void set_trouble(call_fleet& fleet, bool on)
+inline void set_trigger_faults(call_fleet& fleet, bool on)
 {
     const scenario_model& scenario = fleet.scenario;
     for (auto& host : fleet.hosts)
@@ -166,20 +167,20 @@
         {
             host->upstream.slow_factor = on ? scenario.slow_factor : 1.0;
         }
-        if (host->data_centre != scenario.dead_data_centre)
+        if (host->data_centre != scenario.failed_data_centre)
         {
             continue;
         }
         if (on)
         {
-            kill_host(fleet, *host);
+            crash_host(fleet, *host);
         }
         else
         {
-            revive_host(fleet, *host);
+            restart_host(fleet, *host);
         }
     }
-    if (scenario.dead_data_centre != no_index)
+    if (scenario.failed_data_centre != no_index)
     {
         constexpr duration suspicion_time = 3s;
         run_after(
@@ -219,13 +220,13 @@
         fleet.clock, scenario.trigger_start,
         [&fleet]()
         {
-            set_trouble(fleet, true);
+            set_trigger_faults(fleet, true);
         });
     run_after(
         fleet.clock, scenario.trigger_end,
         [&fleet]()
         {
-            set_trouble(fleet, false);
+            set_trigger_faults(fleet, false);
         });
     run_until(fleet.clock, fleet.result.started + scenario.length);
     return std::move(fleet.result);
--- a/tests/support/virtual_scenarios.hpp
+++ b/tests/support/virtual_scenarios.hpp
@@ -65,7 +65,7 @@
     scenarios[2].surging_workspace = 0;
     scenarios[2].workspace_surge = 10.0;
     scenarios[3].name = "data-centre-dies";
-    scenarios[3].dead_data_centre = 0;
+    scenarios[3].failed_data_centre = 0;
     scenarios[4].name = "small-service-saturates";
     scenarios[4].surging_route = 1;
     scenarios[4].route_surge = 6.0;
