--- a/tests/core/fleet_fuzz_test.cpp
+++ b/tests/core/fleet_fuzz_test.cpp
@@ -36,7 +36,8 @@
             rc::gen::inRange<std::uint32_t>(0, 3000)));
 }
 
-// Demand while a fault lasts: at one node, or in turn at all.
+// Offers requests for the duration of a fault: at one node, or at all nodes in
+// turn.
 void offer_during(
     virtual_fleet& fleet, const fleet_fault& fault, double offered_rate)
 {
@@ -51,8 +52,9 @@
     }
 }
 
-// One run: faults in turn under demand, then a healthy end. Returns what was
-// violated, or nothing.
+// Applies the faults in turn under load, ends them all and checks that the
+// fleet recovers. Returns a description of what was violated, or an empty
+// string.
 std::string run_rates_under_faults(
     const std::vector<fleet_fault>& faults, std::uint64_t seed,
     duration removal_time)
@@ -60,7 +62,7 @@
     fleet_options options;
     options.seed = seed;
     options.links = {0.01, 0.02, 200us, 3ms, 0.0005};
-    options.static_members = seed % 8 != 0;
+    options.fixed_members = seed % 8 != 0;
     options.rates.removal_time = removal_time;
     virtual_fleet fleet(options);
     fleet.settings = std::make_shared<const configuration>(
@@ -114,6 +116,8 @@
     return {};
 }
 
+// Guards against admissions above rate and burst, weights in use that sum to
+// more than the whole, and refusals below the rate after the faults have ended.
 RC_GTEST_PROP(fleet_fuzz, rates_hold_under_faults, ())
 {
     const auto faults = *rc::gen::scale(
@@ -125,23 +129,24 @@
             faults, seed, quick_removal ? duration(14s) : duration(60s)) == "");
 }
 
-// The keys of one story, with the time of their first use.
+// An idempotency key with the time of its first use.
 struct used_key
 {
     std::string text;
     time_point first_used{};
 };
 
+// Returns a ticket issued by a node, a version 7 UUID or a key without a time.
 std::string new_key(virtual_fleet& fleet, std::uint64_t number)
 {
     virtual_node& node = node_at(fleet, random_below(fleet.random, 12));
-    const std::uint64_t choice = random_below(fleet.random, 10);
-    if (choice < 6 && node.up)
+    const std::uint64_t key_kind = random_below(fleet.random, 10);
+    if (key_kind < 6 && node.up)
     {
         return claims_issue_ticket(
             node.control->claims, inputs_of_claims(*node.control), node.random);
     }
-    if (choice < 9)
+    if (key_kind < 9)
     {
         const auto ms = static_cast<unsigned long long>(fleet.wall_ms(node));
         std::array<char, 64> text{};
@@ -153,7 +158,8 @@
     return "order-" + std::to_string(number);
 }
 
-// A caller sends a new request, or one again that was sent before.
+// Sends a new request, repeats an earlier one, or sends one with an invalid
+// key.
 void call_somewhere(
     virtual_fleet& fleet, virtual_calls& calls, std::vector<used_key>& keys)
 {
@@ -164,7 +170,8 @@
         calls.begin(node, "", invalid_key);
         return;
     }
-    // Plain keys are only remembered for a time, so they are not used longer.
+    // Keys without a time are stored only for a limited time, so they are not
+    // repeated after that.
     constexpr duration repeat_time = 10s;
     std::erase_if(
         keys,
@@ -187,13 +194,14 @@
     calls.begin(node, key, museum_key);
 }
 
+// As run_rates_under_faults(), for claims of never-repeat requests.
 std::string run_claims_under_faults(
     const std::vector<fleet_fault>& faults, std::uint64_t seed)
 {
     fleet_options options;
     options.seed = seed;
     options.links = {0.01, 0.02, 200us, 3ms, 0.0005};
-    options.static_members = seed % 8 != 0;
+    options.fixed_members = seed % 8 != 0;
     options.claims.retention = 30s;
     options.claims.claim_term = 4s;
     virtual_fleet fleet(options);
@@ -243,6 +251,8 @@
     return calls.violation;
 }
 
+// Guards against a second run of a never-repeat request, a request that ran but
+// is reported as not-run, and requests that fail after the faults have ended.
 RC_GTEST_PROP(fleet_fuzz, never_repeat_holds_under_faults, ())
 {
     const auto faults = *rc::gen::scale(
--- a/tests/core/overload_regression_test.cpp
+++ b/tests/core/overload_regression_test.cpp
@@ -1,5 +1,6 @@
-// The overload targets, on both deployments under a virtual clock: one test a
-// deployment and scenario, so that a shortfall has a name of its own.
+// Overload targets on both deployments, on a virtual clock. Each target,
+// deployment and scenario is a test of its own, so that a missed target is
+// reported by name.
 #include "support/virtual_report.hpp"
 #include "support/virtual_run.hpp"
 #include "support/virtual_scenarios.hpp"
@@ -17,7 +18,7 @@
 constexpr double min_critical_served = 0.999;
 constexpr double max_recovery_seconds = 2.0;
 constexpr double min_workspace_share = 0.9;
-// Of all requests; the target is none.
+// As a fraction of all requests; the target is none.
 constexpr double max_unforced_failures = 0.0;
 
 struct overload_case
@@ -96,7 +97,7 @@
 
 TEST_P(overload_regression, attempts_at_deepest)
 {
-    // One attempt each, one in ten as a retry, and the callers' re-sends.
+    // One attempt each, one retry per ten attempts, and the callers' retries.
     EXPECT_LE(
         figures_of(GetParam()).attempts_at_deepest,
         1.1 * (1 + GetParam().scenario.caller_retries));
--- a/tests/process/fleet_processes.hpp
+++ b/tests/process/fleet_processes.hpp
@@ -1,5 +1,5 @@
-// Starts the programs of a small fleet as processes and talks to them. Only
-// processes started here are signalled, by their ids.
+// Starts the programs of a small fleet as processes and sends requests to them.
+// Signals go only to processes started here, by process id.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -33,7 +33,8 @@
 constexpr const char* fleet_secret = "fleet-secret-of-tests";
 constexpr const char* operator_credential = "operators-of-tests";
 
-// Polls until the condition holds; false when wait_limit is over.
+// Polls until the condition holds. Returns false when it does not hold within
+// `limit`.
 inline bool wait_until(
     const std::function<bool()>& condition,
     std::chrono::steady_clock::duration limit = wait_limit)
@@ -50,7 +51,7 @@
     return true;
 }
 
-// A program of the build folder; ended with its owner.
+// A running program of the build folder. The destructor kills it.
 class process
 {
 public:
@@ -102,7 +103,8 @@
         ::kill(id_, number);
     }
 
-    // Waits for the end; the exit code, or minus the signal's number.
+    // Waits for the process to exit. Returns the exit code, or the negated
+    // number of the signal that ended it.
     int wait()
     {
         int status = 0;
@@ -111,11 +113,12 @@
         return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
     }
 
-    [[nodiscard]] std::string port(const std::string& name) const
+    [[nodiscard]] std::string endpoint(const std::string& name) const
     {
         return std::string(first_line.at(name).as_string());
     }
 
+    // The JSON object that the program prints first, or an empty one.
     json::object first_line;
 
 private:
@@ -139,7 +142,7 @@
     std::string idempotency_key = {};
 };
 
-// A keep-alive connection.
+// A client on one keep-alive connection.
 class client
 {
 public:
@@ -195,7 +198,7 @@
     return client(endpoint).send(call);
 }
 
-// A platform and nodes in one data centre, each with an upstream.
+// A platform, and nodes with upstreams in one data centre.
 class fleet
 {
 public:
@@ -218,7 +221,7 @@
             {"listen", listen},
             {"fleet_secret", fleet_secret},
             {"operator_credential", operator_credential},
-            {"platform", platform.port("listening")},
+            {"platform", platform.endpoint("listening")},
             {"log", json::object{{"level", "error"}}}});
         nodes.push_back(std::make_unique<process>(
             std::vector<std::string>{"cyclamen-node", "--settings", path}));
@@ -233,7 +236,7 @@
             "--service",
             service,
             "--node",
-            nodes[node]->port("upstream"),
+            nodes[node]->endpoint("upstream"),
             "--service-time-ms",
             "2",
             "--distribution",
@@ -243,13 +246,13 @@
         upstreams.push_back(std::make_unique<process>(command));
     }
 
-    // Plans and confirms; the operations are JSON.
+    // Plans and confirms a change of the configuration by JSON operations.
     void configure(const json::array& operations)
     {
         const std::string body =
             json::serialize(json::object{{"operations", operations}});
         const auto planned = send_once(
-            nodes[0]->port("operators"),
+            nodes[0]->endpoint("operators"),
             {http::verb::post, "/v1/intents", operator_credential, body, {}});
         ASSERT_EQ(planned.status, 200U) << planned.body;
         json::object confirm{
@@ -258,7 +261,7 @@
             [&]
             {
                 return send_once(
-                           nodes[0]->port("operators"),
+                           nodes[0]->endpoint("operators"),
                            {http::verb::post,
                             "/v1/plans/confirm",
                             operator_credential,
@@ -268,7 +271,8 @@
             }));
     }
 
-    // Waits until a node serves the target.
+    // Waits until a request for the target at this node gets status 200.
+    // Returns false after `wait_limit`.
     [[nodiscard]] bool wait_until_served(
         std::size_t node, const std::string& target, const std::string& key)
     {
@@ -276,7 +280,7 @@
             [&]
             {
                 return send_once(
-                           nodes[node]->port("callers"),
+                           nodes[node]->endpoint("callers"),
                            {http::verb::get, target, key, {}, {}})
                            .status == 200;
             });
--- a/tests/process/node_test.cpp
+++ b/tests/process/node_test.cpp
@@ -1,4 +1,5 @@
-// Promises of the whole system, seen from outside real processes.
+// End-to-end guarantees, tested with separate processes for the platform, the
+// nodes and the upstreams.
 #include "core/intent/configuration_json.hpp"
 #include "core/request/request_tables.hpp"
 
@@ -49,7 +50,8 @@
          {"open", true}}};
 }
 
-// Two nodes: one beside booking, which calls payments, one beside payments.
+// Two nodes: one at a booking upstream, which calls payments, and one at a
+// payments upstream.
 class two_nodes : public testing::Test
 {
 protected:
@@ -69,14 +71,14 @@
 
     std::string callers(std::size_t node)
     {
-        return hosts.nodes[node]->port("callers");
+        return hosts.nodes[node]->endpoint("callers");
     }
 
-    // How often the upstream ran a request whose path holds `text`.
+    // Number of requests run by the upstream whose path contains `text`.
     std::size_t runs_of(std::size_t upstream, const std::string& text)
     {
         const auto ran = send_once(
-            hosts.upstreams[upstream]->port("control"),
+            hosts.upstreams[upstream]->endpoint("control"),
             {http::verb::get, "/v1/ran", {}, {}, {}});
         std::size_t count = 0;
         for (auto at = ran.body.find(text); at != std::string::npos;
@@ -95,18 +97,18 @@
     http_call call{http::verb::get, "/booking/" + key.substr(0, 3), key};
     EXPECT_EQ(send_once(callers(1), call).status, 200U);
     {
-        SCOPED_TRACE("a key in the target is refused before it can travel");
+        SCOPED_TRACE("a request with a key in its target is refused");
         call.target = "/booking/?key=" + key;
         const auto refused = send_once(callers(0), call);
         EXPECT_EQ(refused.status, 400U);
         EXPECT_EQ(refused.outcome, "not-run");
     }
     {
-        SCOPED_TRACE("no upstream received one, also with child calls");
+        SCOPED_TRACE("no upstream received a key, not even in child calls");
         for (const auto& upstream : hosts.upstreams)
         {
             const auto received = send_once(
-                upstream->port("control"),
+                upstream->endpoint("control"),
                 {http::verb::get, "/v1/received", {}, {}, {}});
             ASSERT_EQ(received.status, 200U);
             EXPECT_NE(received.body.find("Cyclamen-Call"), std::string::npos);
@@ -114,7 +116,7 @@
         }
     }
     {
-        SCOPED_TRACE("without a key only the open route runs");
+        SCOPED_TRACE("without a key only the open route is served");
         EXPECT_EQ(
             send_once(callers(0), {http::verb::get, "/open/x"}).status, 200U);
         EXPECT_EQ(
@@ -141,7 +143,8 @@
 TEST_F(two_nodes, outcomes_match_runs_when_an_upstream_crashes)
 {
     {
-        SCOPED_TRACE("a death during a never-repeat request leaves it unknown");
+        SCOPED_TRACE(
+            "a crash during a never-repeat request has outcome unknown");
         const auto answer = send_once(
             callers(0),
             {http::verb::post, "/charge/deadly", key, "cyclamen-poison"});
@@ -150,7 +153,7 @@
         EXPECT_LE(runs_of(1, "/charge/deadly"), 1U);
     }
     {
-        SCOPED_TRACE("while it is away, what is said of a request is true");
+        SCOPED_TRACE("the outcome is correct while the upstream is down");
         const auto answer = send_once(
             callers(0), {http::verb::post, "/charge/away", key, "body"});
         const std::size_t runs = runs_of(1, "/charge/away");
@@ -159,7 +162,7 @@
         EXPECT_TRUE(answer.outcome != "ran" || runs == 1U);
     }
     {
-        SCOPED_TRACE("it comes back by announcing itself");
+        SCOPED_TRACE("the upstream serves again after it announces itself");
         EXPECT_TRUE(hosts.wait_until_served(0, "/charge/back", key));
     }
 }
@@ -178,9 +181,9 @@
 TEST_F(two_nodes, planned_stop_aborts_no_request)
 {
     std::atomic<bool> done{false};
-    std::atomic<int> cut{0};
-    std::atomic<int> whole{0};
-    std::thread load(
+    std::atomic<int> aborted{0};
+    std::atomic<int> completed{0};
+    std::thread load_thread(
         [&]
         {
             client connection(callers(0));
@@ -189,22 +192,22 @@
                 const auto answer =
                     connection.send({http::verb::get, "/charge/load", key});
                 answer.status == 200
-                    ? ++whole
-                    : (answer.outcome == "not-run" ? 0 : ++cut);
+                    ? ++completed
+                    : (answer.outcome == "not-run" ? 0 : ++aborted);
             }
         });
     EXPECT_TRUE(wait_until(
         [&]
         {
-            return whole > 50;
+            return completed > 50;
         }));
     hosts.upstreams[1]->signal(SIGTERM);
     EXPECT_EQ(hosts.upstreams[1]->wait(), 0);
     hosts.nodes[1]->signal(SIGTERM);
     EXPECT_EQ(hosts.nodes[1]->wait(), 0);
     done = true;
-    load.join();
-    EXPECT_EQ(cut, 0);
+    load_thread.join();
+    EXPECT_EQ(aborted, 0);
     hosts.nodes[0]->signal(SIGTERM);
     EXPECT_EQ(hosts.nodes[0]->wait(), 0);
 }
@@ -230,8 +233,9 @@
         EXPECT_EQ(reply.rfind("HTTP/1.1 4", 0), 0U) << text.substr(0, 20);
     }
     {
-        SCOPED_TRACE("a stranger at the peers' port gets a closed connection");
-        const auto peers = hosts.nodes[0]->port("peers");
+        SCOPED_TRACE(
+            "a connection to the peers port without a handshake is closed");
+        const auto peers = hosts.nodes[0]->endpoint("peers");
         EXPECT_EQ(
             send_once(peers, {http::verb::get, "/", {}, {}, {}}).status, 0U);
     }
@@ -241,14 +245,14 @@
 TEST_F(two_nodes, node_replies_without_platform_or_peer)
 {
     const auto down = send_once(
-        hosts.platform.port("listening"),
+        hosts.platform.endpoint("listening"),
         {http::verb::put, "/v1/faults", {}, R"({"down":true})", {}});
     ASSERT_EQ(down.status, 200U) << down.body;
     EXPECT_EQ(
         send_once(callers(0), {http::verb::get, "/charge/on", key}).status,
         200U);
     {
-        SCOPED_TRACE("a paused node does not hold up the others");
+        SCOPED_TRACE("a paused node does not block the other node");
         hosts.nodes[1]->signal(SIGSTOP);
         const auto answer =
             send_once(callers(0), {http::verb::get, "/charge/paused", key});
--- a/tests/support/call_fleet.hpp
+++ b/tests/support/call_fleet.hpp
@@ -1,4 +1,4 @@
-// The hosts of a virtual run: a node and a simple upstream on each.
+// Hosts of a simulated run; each has a node and a model of an upstream.
 #pragma once
 
 #include "core/gate/gate.hpp"
@@ -15,7 +15,7 @@
 namespace cyclamenhold
 {
 
-// One attempt at a host, from its arrival until its end.
+// One attempt at a host, from its arrival to its result.
 struct virtual_attempt
 {
     std::size_t host = 0;
@@ -33,8 +33,8 @@
 
 using attempt_pointer = std::shared_ptr<virtual_attempt>;
 
-// Runs `slots` requests at once; what its node starts beyond that waits inside,
-// first come first served.
+// Runs up to `slots` requests concurrently. Requests that its node starts
+// beyond that wait in a FIFO queue inside the upstream.
 struct virtual_upstream
 {
     std::uint32_t slots = 0;
@@ -53,7 +53,7 @@
     gate_state gate;
     virtual_upstream upstream;
     std::unordered_map<gate_entry_id, attempt_pointer> attempts;
-    // For the fixed limit.
+    // Used under overload_policy::fixed_limit only.
     std::deque<attempt_pointer> fixed_queue;
     std::uint32_t fixed_running = 0;
 };
@@ -61,7 +61,7 @@
 struct workspace_bucket
 {
     double tokens = 0.0;
-    time_point at{};
+    time_point refilled_at{};
 };
 
 struct call_fleet
@@ -72,7 +72,8 @@
     virtual_clock clock;
     random_source random;
     std::vector<std::unique_ptr<virtual_host>> hosts;
-    std::vector<workspace_bucket> rates;
+    // By index of the workspace.
+    std::vector<workspace_bucket> workspace_buckets;
     std::uint64_t next_id = 1;
     virtual_result result;
 };
@@ -131,7 +132,7 @@
         service.connections, 1};
 }
 
-// Publishes the upstreams of all hosts that are is_up to every node.
+// Publishes the upstreams of all running hosts to every node.
 inline void publish_routing(call_fleet& fleet)
 {
     std::vector<upstream_location> locations;
@@ -156,7 +157,8 @@
     }
 }
 
-// The request path's own token buckets never run dry in these runs.
+// Fills the token buckets of a request path so that they never empty. These
+// runs limit the workspaces at the callers instead.
 inline void fill_buckets(call_fleet& fleet, request_path& path)
 {
     for (const auto& workspace : fleet.deployment.workspaces)
--- a/tests/support/fake_fleet.hpp
+++ b/tests/support/fake_fleet.hpp
@@ -1,5 +1,5 @@
-// Many nodes' membership and configuration in one process, under a virtual
-// clock, on links and a platform whose faults can be switched.
+// Membership and configuration of many nodes in one process, on a virtual
+// clock, with fault injection on the links and the platform.
 #pragma once
 
 #include "core/configuration/chain.hpp"
@@ -20,7 +20,8 @@
 
 struct fleet_link_faults
 {
-    // Of datagrams; streams lose whole links only.
+    // Probability for each datagram. Streams lose messages only while a link is
+    // down.
     double loss = 0.0;
     double duplication = 0.0;
     duration shortest_delay = 500us;
@@ -41,7 +42,8 @@
     // Local clock = offset + true time * (1 + drift).
     duration clock_offset{};
     double clock_drift = 0.0;
-    // The incarnation that a message or reply is meant for.
+    // Incremented at each start and crash. Messages and replies for an earlier
+    // incarnation are dropped.
     std::uint64_t incarnation = 0;
     time_point next_tick_at = time_point::max();
     std::uint64_t bytes_sent = 0;
@@ -56,7 +58,7 @@
     std::uint64_t order = 0;
     std::size_t node = 0;
     std::uint64_t incarnation = 0;
-    // A message, or a wake-up without one.
+    // Absent for a tick.
     std::optional<outgoing_message> message;
     host_id from = host_id::none;
 };
@@ -69,7 +71,7 @@
     }
 };
 
-// Bytes of the IP and UDP headers that each datagram costs besides.
+// Bytes of the IP and UDP headers of a datagram.
 constexpr std::size_t datagram_header_size = 28;
 
 struct fake_fleet
@@ -83,7 +85,8 @@
     std::uint64_t wall_clock_ms = 1'700'000'000'000;
     std::vector<fleet_node> nodes;
     std::map<host_id, std::size_t> index;
-    // Whether a message may pass from one node to the other.
+    // Returns whether messages from the first node reach the second; empty when
+    // all links are up.
     std::function<bool(const fleet_node&, const fleet_node&)> is_link_up;
     std::priority_queue<
         fleet_event, std::vector<fleet_event>, later_fleet_event>
@@ -111,7 +114,7 @@
     return time_point{from_seconds(since / (1.0 + node.clock_drift)) + 1us};
 }
 
-// One incarnation of a node, as the platform sees it.
+// Identifies one incarnation of a node to the platform.
 inline store_caller caller_of(const fleet_node& node, std::size_t node_index)
 {
     return (node.incarnation << 32) | node_index;
@@ -183,7 +186,7 @@
     {
         const duration spread =
             fleet.faults.longest_delay - fleet.faults.shortest_delay;
-        // Streams keep their order.
+        // A constant delay keeps the messages of a stream in order.
         const duration delay =
             is_datagram
                 ? fleet.faults.shortest_delay +
@@ -223,9 +226,9 @@
     }
     if (fleet.record_events)
     {
-        for (auto& happened : actions.events)
+        for (auto& recorded : actions.events)
         {
-            node.events.push_back(std::move(happened));
+            node.events.push_back(std::move(recorded));
         }
     }
     publish_to_membership(*node.chain, *node.membership);
@@ -252,7 +255,7 @@
     perform_actions(fleet, node_index, actions);
 }
 
-// Ends a node without a word.
+// Stops a node without a message to its peers.
 inline void crash_node(fake_fleet& fleet, std::size_t node_index)
 {
     fleet_node& node = fleet.nodes[node_index];
@@ -261,7 +264,8 @@
     ++node.incarnation;
 }
 
-// The node's calls under way get no answer but their timeout.
+// Disconnects a node from the platform. Its calls in progress fail as
+// unavailable after 2 s.
 inline void cut_from_platform(fake_fleet& fleet, std::size_t node_index)
 {
     fleet_node& node = fleet.nodes[node_index];
@@ -361,30 +365,30 @@
     perform_actions(fleet, node_index, actions);
 }
 
-inline void run_event(fake_fleet& fleet, fleet_event happened)
+inline void run_event(fake_fleet& fleet, fleet_event current)
 {
-    fleet_node& node = fleet.nodes[happened.node];
-    if (!node.running || happened.incarnation != node.incarnation)
+    fleet_node& node = fleet.nodes[current.node];
+    if (!node.running || current.incarnation != node.incarnation)
     {
         return;
     }
     if (fleet.now < node.paused_until)
     {
-        // Held by the paused host's socket until it goes on.
-        happened.at = node.paused_until;
-        happened.order = fleet.next_order++;
-        fleet.queue.push(std::move(happened));
+        // The socket of the paused host buffers it until the host resumes.
+        current.at = node.paused_until;
+        current.order = fleet.next_order++;
+        fleet.queue.push(std::move(current));
         return;
     }
-    if (happened.message.has_value())
+    if (current.message.has_value())
     {
-        deliver(fleet, happened);
+        deliver(fleet, current);
         return;
     }
-    if (happened.at == node.next_tick_at)
+    if (current.at == node.next_tick_at)
     {
         node.next_tick_at = time_point::max();
-        tick_node(fleet, happened.node);
+        tick_node(fleet, current.node);
     }
 }
 
@@ -409,9 +413,9 @@
         }
         if (next_event <= fleet.now && !fleet.queue.empty())
         {
-            fleet_event happened = fleet.queue.top();
+            fleet_event current = fleet.queue.top();
             fleet.queue.pop();
-            run_event(fleet, std::move(happened));
+            run_event(fleet, std::move(current));
         }
         if (after_each)
         {
@@ -426,7 +430,8 @@
     run_until(fleet, fleet.now + span);
 }
 
-// Runs until the condition holds; false when it does not within `limit`.
+// Runs until the condition holds, and checks it every 50 ms. Returns false when
+// it does not hold within `limit`.
 inline bool run_until_true(
     fake_fleet& fleet, duration limit, const std::function<bool()>& condition)
 {
@@ -442,7 +447,8 @@
     return true;
 }
 
-// Lets a node's subsystem run_on_node outside of events.
+// Calls `action` on a node outside of scheduled events, and performs the
+// actions that it produces.
 inline void run_on_node(
     fake_fleet& fleet, std::size_t node_index,
     const std::function<void(
@@ -475,7 +481,8 @@
     return found == members.end() ? member_state::left : found->second.state;
 }
 
-// Whether every running node sees all running ones alive, and no other.
+// Returns whether the alive members of every running node are exactly the other
+// running nodes, each with its current incarnation and upstream.
 inline bool is_converged(const fake_fleet& fleet)
 {
     std::size_t running = 0;
@@ -490,15 +497,15 @@
             continue;
         }
         std::size_t alive = 0;
-        for (const auto& [host, known] : viewer.membership->members)
+        for (const auto& [host, entry] : viewer.membership->members)
         {
             const fleet_node& subject = fleet.nodes[fleet.index.at(host)];
-            const bool is_alive = known.state == member_state::alive;
+            const bool is_alive = entry.state == member_state::alive;
             if (is_alive != subject.running ||
                 (is_alive &&
-                 (known.host_incarnation !=
+                 (entry.host_incarnation !=
                       subject.membership->self_incarnation ||
-                  known.upstream != subject.membership->local_upstream)))
+                  entry.upstream != subject.membership->local_upstream)))
             {
                 return false;
             }
@@ -512,7 +519,7 @@
     return true;
 }
 
-// A fleet of `count` running nodes spread over data centres.
+// Adds and starts `count` nodes, assigned to the data centres in turn.
 inline void add_nodes(
     fake_fleet& fleet, const std::vector<std::string>& data_centres,
     std::size_t count)
--- a/tests/support/fleet_calls.hpp
+++ b/tests/support/fleet_calls.hpp
@@ -1,5 +1,6 @@
-// Whole calls over the virtual fleet: callers, request paths, claims, the last
-// gate and an upstream on each host, with a record of what ran.
+// End-to-end calls over the virtual fleet: callers, request paths, claims, the
+// upstream gate and an upstream on each host, with a record of the requests
+// that the upstreams ran.
 #pragma once
 
 #include "core/gate/gate.hpp"
@@ -12,7 +13,7 @@
 namespace cyclamenhold::testing_support
 {
 
-// One request of a caller, followed to its end.
+// One request of a caller and its progress.
 struct virtual_call
 {
     std::uint64_t id = 0;
@@ -20,7 +21,7 @@
     std::uint64_t entry_incarnation = 0;
     call_request request;
     call_state state;
-    // The attempt that is under way; answers of earlier ones are late.
+    // Number of the current attempt; results of earlier ones are ignored.
     std::uint32_t attempt = 0;
     std::uint32_t runs = 0;
     bool ended = false;
@@ -67,8 +68,9 @@
     }
 
     std::map<std::uint64_t, virtual_call> calls;
-    // How often each idempotency key has run, and each call.
+    // Number of runs at the upstreams by idempotency key.
     std::map<std::string, std::uint32_t> runs_of_key;
+    // Describes a violated guarantee; empty when there is none.
     std::string violation;
     std::uint64_t delivered = 0;
 
@@ -200,7 +202,7 @@
         call.reported_outcome = reported_outcome;
         if (reported_outcome == outcome::not_run && call.runs > 0)
         {
-            violation = "not-run was said of a request that ran";
+            violation = "a request that ran was reported as not-run";
         }
         end_call(*node.path, call.state, fleet_.local_now(node));
         if (call.state.context.claim.steward_epoch == 0)
@@ -231,16 +233,18 @@
         virtual_node& target = *fleet_.nodes.at(next.target.location.host);
         request_context context = next.context;
         const time_point local = fleet_.local_now(node);
-        const duration claim_left = context.claim.valid_until - local;
-        const duration left = context.deadline - local;
+        const duration claim_remaining = context.claim.valid_until - local;
+        const duration remaining = context.deadline - local;
         fleet_.network.transmit(
             node, target, transport::stream,
-            [this, &target, id = call.id, attempt, context, claim_left, left]
+            [this, &target, id = call.id, attempt, context, claim_remaining,
+             remaining]
             {
-                arrive(target, id, attempt, context, claim_left, left);
+                arrive(
+                    target, id, attempt, context, claim_remaining, remaining);
             });
         fleet_.network.at(
-            fleet_.now() + std::min(left, duration(2s)),
+            fleet_.now() + std::min(remaining, duration(2s)),
             [this, id = call.id, attempt]
             {
                 finish_attempt(
@@ -253,11 +257,11 @@
 
     void arrive(
         virtual_node& target, std::uint64_t id, std::uint32_t attempt,
-        request_context context, duration claim_left, duration left)
+        request_context context, duration claim_remaining, duration remaining)
     {
         const time_point local = fleet_.local_now(target);
-        context.claim.valid_until = local + claim_left;
-        context.deadline = local + left;
+        context.claim.valid_until = local + claim_remaining;
+        context.deadline = local + remaining;
         if (!claims_accept_at_gate(
                 target.control->claims, context.claim, local))
         {
@@ -299,7 +303,7 @@
         ++call.runs;
         if (call.ended && call.reported_outcome == outcome::not_run)
         {
-            violation = "a request ran after not-run was said";
+            violation = "a request ran after it was reported as not-run";
         }
         const std::string& key = call.request.idempotency_key;
         if (call.runs > 1 || (!key.empty() && ++runs_of_key[key] > 1))
--- a/tests/support/fleet_faults.hpp
+++ b/tests/support/fleet_faults.hpp
@@ -1,5 +1,5 @@
-// Random faults for the virtual fleet, as a list that a property test can
-// generate, print and shrink; and checks that must hold after each event.
+// Faults for the virtual fleet, as values that a property test can generate,
+// print and shrink, and the weights that tests check after each event.
 #pragma once
 
 #include "core/rates/rates_context.hpp"
@@ -22,7 +22,7 @@
     pause,
     cut_data_centre,
     cut_from_platform,
-    // Messages from the node are lost, those to it arrive.
+    // Messages from the node are lost; messages to it arrive.
     cut_one_way,
     cut_node,
     platform_down,
@@ -48,7 +48,7 @@
                << ", " << fault.milliseconds << "}";
 }
 
-// The cuts in force.
+// Network and platform connections that are currently cut.
 struct fleet_cuts
 {
     std::set<data_centre_id> data_centres;
@@ -64,6 +64,8 @@
     return *entry->second;
 }
 
+// Makes the fleet's links and platform connections follow `cuts`, which must
+// outlive the fleet's run.
 inline void install_cuts(virtual_fleet& fleet, const fleet_cuts& cuts)
 {
     fleet.network.is_link_up =
@@ -143,7 +145,7 @@
     }
 }
 
-// Ends all faults and starts what is down.
+// Ends all faults and pauses, and starts the nodes that are down.
 inline void end_faults(virtual_fleet& fleet, fleet_cuts& cuts)
 {
     apply_fault(fleet, cuts, {fault_kind::heal, 0, 0});
@@ -158,8 +160,8 @@
     }
 }
 
-// The weight of a shard's data centre share that one node uses now: its own,
-// as its limiter has it, and what is pledged to it.
+// The weight of a workspace's data-centre share that a node uses now: the rate
+// of its own bucket in the limiter, plus the weight leases that it holds.
 inline double weight_in_use(
     const virtual_fleet& fleet, virtual_node& node, workspace_id workspace)
 {
@@ -181,7 +183,8 @@
     return weight;
 }
 
-// The largest sum of weights in use over the data centres.
+// The sum of weights in use in a data centre, at its largest over the data
+// centres.
 inline double
 largest_weight_sum(const virtual_fleet& fleet, workspace_id workspace)
 {
--- a/tests/support/virtual_baselines.hpp
+++ b/tests/support/virtual_baselines.hpp
@@ -1,5 +1,5 @@
-// The two policies that this project is compared with: straight to an upstream,
-// and a fixed concurrency limit with a first-come-first-served queue.
+// Baseline policies for comparison: pass-through to an upstream, and a fixed
+// concurrency limit with a FIFO queue.
 #pragma once
 
 #include "support/virtual_calls.hpp"
@@ -9,10 +9,11 @@
 namespace cyclamenhold
 {
 
-// Waiting requests for each slot under the fixed limit.
+// Queue capacity per slot under the fixed limit, in requests.
 constexpr std::size_t fixed_queue_factor = 2;
 
-// A random upstream in the data centre, or anywhere when there is none.
+// Returns the index of a random host that serves the service, in the data
+// centre of `node` when there is one.
 inline std::size_t
 baseline_upstream(call_fleet& fleet, std::size_t node, std::size_t service)
 {
@@ -31,8 +32,8 @@
             local.push_back(i);
         }
     }
-    const auto& choice = local.empty() ? any : local;
-    return choice[random_below(fleet.random, choice.size())];
+    const auto& candidates = local.empty() ? any : local;
+    return candidates[random_below(fleet.random, candidates.size())];
 }
 
 inline void start_fixed_limit(call_fleet& fleet, virtual_host& host)
@@ -72,9 +73,9 @@
     }
     if (fleet.policy == overload_policy::pass_through)
     {
-        const std::size_t open =
+        const std::size_t in_progress =
             host.upstream.waiting.size() + host.upstream.busy;
-        if (open >= service.connections)
+        if (in_progress >= service.connections)
         {
             refuse_baseline(attempt);
             return;
@@ -108,10 +109,10 @@
     attempt->context.deadline = call.deadline;
     attempt->route = call.route;
     attempt->position = call.position;
-    const auto waiting = std::make_shared<bool>(true);
-    const auto finish = [waiting, done = std::move(done)](bool ok)
+    const auto is_pending = std::make_shared<bool>(true);
+    const auto finish = [is_pending, done = std::move(done)](bool ok)
     {
-        if (std::exchange(*waiting, false))
+        if (std::exchange(*is_pending, false))
         {
             done(ok);
         }
--- a/tests/support/virtual_calls.hpp
+++ b/tests/support/virtual_calls.hpp
@@ -1,5 +1,5 @@
-// Calls through a virtual fleet: from the caller over nodes, gates and
-// upstreams to the deepest service and back.
+// Calls through the hosts of a simulated run: from the caller through nodes,
+// gates and upstreams along the chain of services, and the replies back.
 #pragma once
 
 #include "support/call_fleet.hpp"
@@ -10,6 +10,7 @@
 namespace cyclamenhold
 {
 
+// One-way network delays within a data centre and between data centres.
 constexpr duration local_delay = 250us;
 constexpr duration remote_delay = 1ms;
 
@@ -25,7 +26,7 @@
 
 using call_pointer = std::shared_ptr<virtual_call>;
 
-// A call under one of the two policies that this project is compared with.
+// A call under one of the baseline policies.
 struct baseline_call
 {
     std::size_t node = 0;
@@ -55,11 +56,11 @@
 void apply_gate_decisions(
     call_fleet& fleet, virtual_host& host, const gate_decisions& decisions);
 
-// For the fixed limit: starts what waits, first come first served.
+// Starts queued attempts in order of arrival, up to the fixed limit.
 void start_fixed_limit(call_fleet& fleet, virtual_host& host);
 
-// Ends an attempt at its host; the caller's node learns it after the delay
-// that `done` adds.
+// Ends an attempt at its host. `done` delivers the result to the caller's node
+// after the network delay.
 inline void end_attempt(
     call_fleet& fleet, const attempt_pointer& attempt, attempt_result result,
     gate_result at_gate)
@@ -116,7 +117,8 @@
     end_attempt(fleet, attempt, result, gate_result::replied);
 }
 
-// The upstream has done its own work and calls the next service, if any.
+// Runs when the upstream has done its own work: calls the next service of the
+// chain, or completes the attempt when there is none.
 inline void call_next_service(call_fleet& fleet, const attempt_pointer& attempt)
 {
     if (attempt->ended || !fleet.hosts[attempt->host]->is_up)
@@ -207,7 +209,8 @@
     }
 }
 
-// A request's deadline has passed: the upstream is told to stop.
+// Ends an attempt whose deadline has passed. One that has started frees its
+// slot at the upstream.
 inline void expire_attempt(call_fleet& fleet, const attempt_pointer& attempt)
 {
     if (attempt->ended)
@@ -304,7 +307,7 @@
     case call_step_kind::refuse:
         break;
     default:
-        assert(false && "no claims and no waiting for tokens in these runs");
+        assert(false && "these runs have no claims and no token waits");
     }
     const bool ok =
         step.kind == call_step_kind::deliver && call->state.answered;
--- a/tests/support/virtual_clock.hpp
+++ b/tests/support/virtual_clock.hpp
@@ -44,6 +44,7 @@
         {clock.now + delay, clock.next_sequence++, std::move(action)});
 }
 
+// Runs the events up to and including `end`.
 inline void run_until(virtual_clock& clock, time_point end)
 {
     while (!clock.events.empty() && clock.events.top().at <= end)
--- a/tests/support/virtual_fleet.hpp
+++ b/tests/support/virtual_fleet.hpp
@@ -1,6 +1,6 @@
-// Many whole nodes in one process under a virtual clock: a network that loses,
-// delays, duplicates, reorders and partitions, a platform with faults, pauses
-// and restarts, and clocks that drift. The same seed gives the same run.
+// Many complete nodes in one process on a virtual clock, with message loss,
+// delay, duplication, reordering and partitions, platform faults, pauses,
+// restarts and clock drift. Runs with the same seed are identical.
 #pragma once
 
 #include "support/virtual_network.hpp"
@@ -27,11 +27,10 @@
     std::function<bool(const virtual_node&)> platform_reachable;
     // Called after each event of a node.
     std::function<void(virtual_node&)> after_event;
-    // Called when a node has started, and when a waiter that is not the
-    // fleet's own got its verdict.
     std::function<void(virtual_node&)> on_started;
+    // Called with the result of a waiter that offer() did not create.
     std::function<void(virtual_node&, token_waiter, bool)> on_token;
-    // Called when a claim was answered.
+    // Called for each answer to a claim request.
     std::function<void(virtual_node&, const claim_answer&)> on_claim;
 
     virtual_network network;
@@ -65,28 +64,28 @@
         };
         node.waiting.clear();
         node.control = std::make_unique<control_state>();
-        control_settings chosen;
-        chosen.membership.self = node.host;
-        chosen.membership.data_centre = node.data_centre;
-        chosen.membership.data_centre_name = node.data_centre_name;
+        control_settings node_settings;
+        node_settings.membership.self = node.host;
+        node_settings.membership.data_centre = node.data_centre;
+        node_settings.membership.data_centre_name = node.data_centre_name;
         for (const auto& [host, other] : nodes)
         {
             if (host != node.host)
             {
-                chosen.membership.seeds.push_back(host);
+                node_settings.membership.seeds.push_back(host);
             }
         }
-        chosen.chain.self = node.host;
-        chosen.chain.data_centre = node.data_centre;
-        chosen.rates = options_.rates;
-        chosen.rates.self = node.host;
-        chosen.rates.data_centre = node.data_centre;
-        chosen.claims = options_.claims;
-        chosen.claims.self = node.host;
-        chosen.claims.data_centre = node.data_centre;
+        node_settings.chain.self = node.host;
+        node_settings.chain.data_centre = node.data_centre;
+        node_settings.rates = options_.rates;
+        node_settings.rates.self = node.host;
+        node_settings.rates.data_centre = node.data_centre;
+        node_settings.claims = options_.claims;
+        node_settings.claims.self = node.host;
+        node_settings.claims.data_centre = node.data_centre;
         control_actions actions;
         control_start(
-            *node.control, chosen, node.path->limiter, wall_ms(node),
+            *node.control, node_settings, node.path->limiter, wall_ms(node),
             local_now(node), node.random, actions);
         perform_actions(node, actions);
         if (on_started)
@@ -96,7 +95,7 @@
         schedule_tick(node, now());
     }
 
-    // Nothing is kept: the state is gone, messages on their way may arrive.
+    // Discards the node's state. Messages that it has sent are delivered.
     void crash(virtual_node& node)
     {
         node.up = false;
@@ -116,7 +115,7 @@
         node.paused_until = std::max(node.paused_until, now() + time);
     }
 
-    // One request of a workspace arrives at a node.
+    // Offers a request to a node, where it waits for a token up to `max_wait`.
     void offer(virtual_node& node, workspace_id workspace, duration max_wait)
     {
         if (!node.up || is_paused(node))
@@ -147,7 +146,7 @@
         }
     }
 
-    // Carries out what one of the node's control functions asked for.
+    // Calls `function` on the node's control state and performs its actions.
     template <class Function>
     void run_on_node(virtual_node& node, Function function)
     {
@@ -217,8 +216,7 @@
                 }
                 tick(node);
                 const time_point due = true_time(
-                    node, due_of(*node.control, options_.static_members),
-                    now());
+                    node, due_of(*node.control, options_.fixed_members), now());
                 schedule_tick(node, std::max(due, now() + 1ms));
             });
     }
@@ -230,9 +228,9 @@
         control.chain.current = settings;
         const time_point local = local_now(node);
         control_actions actions;
-        if (options_.static_members)
+        if (options_.fixed_members)
         {
-            update_static_members(nodes, node, options_.detection_time, now());
+            update_fixed_members(nodes, node, options_.detection_time, now());
             control.wall_clock_ms = wall_ms(node);
             rates_tick(
                 control.rates, inputs_of_rates(control), local, node.random,
--- a/tests/support/virtual_model.hpp
+++ b/tests/support/virtual_model.hpp
@@ -1,5 +1,5 @@
-// What a virtual run is made of: services, routes, workspaces, and the trouble
-// that a scenario causes for a while.
+// Model of a simulated run: services, routes, workspaces, the temporary
+// overload or failure of a scenario, and the results.
 #pragma once
 
 #include "core/base/outcome.hpp"
@@ -17,13 +17,14 @@
 {
     std::string name;
     std::uint32_t announced_slots = 0;
-    // What each upstream can really run at once.
+    // Requests that each upstream can run concurrently.
     std::uint32_t slots = 0;
     std::uint32_t connections = 0;
     duration service_time = 100ms;
 };
 
-// A request goes to the first service, which calls the next one, and so on.
+// A request goes to the first service of the chain; each service calls the next
+// one.
 struct route_model
 {
     std::string name;
@@ -48,13 +49,14 @@
     std::vector<service_model> services;
     std::vector<route_model> routes;
     std::vector<workspace_model> workspaces;
-    // Root requests a second when nothing is wrong.
+    // Root requests per second while no trigger is active.
     double demand = 0.0;
 };
 
 constexpr std::size_t no_index = std::numeric_limits<std::size_t>::max();
 
-// Applies from `trigger_start` to `trigger_end` of the run.
+// An overload or failure that is active from `trigger_start` to `trigger_end`,
+// both relative to the start of the run.
 struct scenario_model
 {
     std::string name;
@@ -62,7 +64,7 @@
     std::size_t slow_service = no_index;
     double slow_factor = 1.0;
     double surge = 1.0;
-    // The route whose demand is multiplied.
+    // The route whose demand is multiplied by `route_surge`.
     std::size_t surging_route = no_index;
     double route_surge = 1.0;
     std::size_t surging_workspace = no_index;
@@ -71,21 +73,21 @@
     duration trigger_start = 5s;
     duration trigger_end = 15s;
     duration length = 20s;
-    // Callers send a failed request again up to so often.
+    // Maximum number of times that a caller sends a failed request again.
     std::uint32_t caller_retries = 3;
     duration caller_retry_delay = 100ms;
-    // Each workspace may send so many times its normal demand.
+    // Rate limit of each workspace as a multiple of its normal demand.
     double rate_multiple = 4.0;
     std::uint64_t seed = 1;
 };
 
 enum class overload_policy : std::uint8_t
 {
-    // This project's gate, routing and retries.
+    // The gate, routing and retries of this project.
     adaptive,
-    // Every request goes straight to an upstream.
+    // Requests go directly to an upstream, up to its number of connections.
     pass_through,
-    // A fixed concurrency limit with a first-come-first-served queue.
+    // A fixed concurrency limit with a FIFO queue.
     fixed_limit
 };
 
@@ -99,7 +101,7 @@
              {overload_policy::fixed_limit, "fixed-limit"}}};
 };
 
-// One request of a caller, however often it is sent.
+// One request of a caller, with its retries.
 struct request_outcome
 {
     time_point arrived{};
@@ -112,7 +114,7 @@
 struct virtual_result
 {
     std::vector<request_outcome> requests;
-    // Attempts that reached each service's nodes.
+    // Attempts that arrived at the nodes of each service.
     std::vector<std::uint64_t> attempts;
     time_point started{};
 };
--- a/tests/support/virtual_network.hpp
+++ b/tests/support/virtual_network.hpp
@@ -6,7 +6,7 @@
 namespace cyclamenhold::testing_support
 {
 
-// What a node's monotonic clock shows at a true time.
+// The node's monotonic clock at the true time `when`.
 [[nodiscard]] inline time_point
 local_time(const virtual_node& node, time_point when)
 {
@@ -16,8 +16,8 @@
                           (1.0 + node.drift))));
 }
 
-// The true time when the node's clock shows `local`; an hour from now for
-// "never".
+// The true time at which the node's clock reads `local`, or one hour from `now`
+// when `local` is time_point::max().
 [[nodiscard]] inline time_point
 true_time(const virtual_node& node, time_point local, time_point now)
 {
@@ -48,7 +48,8 @@
     {
     }
 
-    // True when a message may pass; tests set partitions here.
+    // Returns whether messages from the first node reach the second; empty when
+    // all links are up. Tests set partitions here.
     std::function<bool(const virtual_node&, const virtual_node&)> is_link_up;
 
     void set_faults(const link_faults& faults)
@@ -85,8 +86,8 @@
             std::move(function));
     }
 
-    // Calls `arrive` when the receiver takes the message, or never. What
-    // reaches a paused node waits for the end of the pause.
+    // Calls `arrive` when the message is delivered, and not at all when it is
+    // lost. Delivery to a paused node is deferred to the end of the pause.
     void transmit(
         const virtual_node& from, virtual_node& to, transport via,
         const std::function<void()>& arrive)
@@ -114,13 +115,13 @@
     {
         const auto span = static_cast<std::uint64_t>(
             (faults_.longest_delay - faults_.shortest_delay).count());
-        const duration held_up =
+        const duration extra_delay =
             random_fraction(random_) < faults_.extra_delay_probability
                 ? from_seconds(
                       random_fraction(random_) *
                       to_seconds(faults_.longest_extra_delay))
                 : duration::zero();
-        return faults_.shortest_delay + held_up +
+        return faults_.shortest_delay + extra_delay +
                duration(random_below(random_, span + 1));
     }
 
--- a/tests/support/virtual_node.hpp
+++ b/tests/support/virtual_node.hpp
@@ -1,5 +1,5 @@
-// What the virtual fleet is made of: options, nodes and the reference that
-// admissions are compared with.
+// Options and nodes of the virtual fleet, and the reference bucket that
+// admissions are checked against.
 #pragma once
 
 #include "core/node/control.hpp"
@@ -17,7 +17,7 @@
 namespace cyclamenhold::testing_support
 {
 
-// What the network does to messages from one host to another.
+// Faults and delays of messages between hosts.
 struct link_faults
 {
     double loss = 0.0;
@@ -25,7 +25,8 @@
     double duplication = 0.0;
     duration shortest_delay = 500us;
     duration longest_delay = 1500us;
-    // A message, and on a stream all behind it, is held up for some time.
+    // Probability that a message, and on a stream all messages after it, is
+    // delayed by up to `longest_extra_delay` more.
     double extra_delay_probability = 0.0;
     duration longest_extra_delay = 3s;
 };
@@ -36,9 +37,9 @@
     std::uint32_t data_centres = 3;
     std::uint32_t hosts_per_data_centre = 4;
     double largest_drift = 200e-6;
-    // Members are known from the start, without membership messages; a host
-    // that is down is seen as dead after `detection_time`.
-    bool static_members = true;
+    // Members are set directly, without membership messages; a host that is
+    // down is marked dead after `detection_time`.
+    bool fixed_members = true;
     duration detection_time = 3s;
     rates_settings rates;
     claims_settings claims;
@@ -58,7 +59,8 @@
     std::uint64_t incarnation = 0;
     time_point down_since{};
     time_point paused_until{};
-    // Paused or cut off since then; others see it as dead.
+    // Start of a pause or network cut. The other nodes have it as dead after
+    // `detection_time`.
     time_point unreachable_since = time_point::max();
     random_source random;
     std::unique_ptr<request_path> path;
@@ -66,12 +68,13 @@
     bool tick_requested = false;
     std::uint64_t messages_sent = 0;
     std::uint64_t bytes_sent = 0;
-    // Requests under way that wait for a token.
+    // Requests that wait for a token.
     std::map<token_waiter, workspace_id> waiting;
 };
 
-// The reference for a workspace: a level that sinks with the rate and rises
-// by one with each admission never exceeds the burst.
+// Reference for a workspace, a leaky bucket: the level drains at `rate` per
+// second and rises by one with each admission. A correct fleet never exceeds
+// `burst`.
 struct rate_oracle
 {
     double rate = 0.0;
@@ -123,18 +126,18 @@
     return nodes;
 }
 
-// When the node's control functions are due.
+// The time on the node's clock when its control functions are next due.
 [[nodiscard]] inline time_point
-due_of(const control_state& control, bool static_members)
+due_of(const control_state& control, bool fixed_members)
 {
-    return static_members
+    return fixed_members
                ? std::min(rates_due(control.rates), claims_due(control.claims))
                : control_due(control);
 }
 
-// Gives a node the members it would have learned, a host that is down being
-// seen as dead after `detection_time`.
-inline void update_static_members(
+// Sets the members of a node directly. A host that has been down or unreachable
+// for more than `detection_time` is dead.
+inline void update_fixed_members(
     const virtual_nodes& nodes, virtual_node& node, duration detection_time,
     time_point now)
 {
@@ -147,9 +150,10 @@
             continue;
         }
         member& entry = view.members[host];
-        const time_point away_since =
+        const time_point unavailable_since =
             other->up ? other->unreachable_since : other->down_since;
-        const bool dead = away_since < now && now - away_since > detection_time;
+        const bool dead =
+            unavailable_since < now && now - unavailable_since > detection_time;
         const member_state state =
             dead ? member_state::dead : member_state::alive;
         const auto incarnation =
@@ -165,8 +169,8 @@
     view.version += changed ? 1 : 0;
 }
 
-// A configuration with one workspace a pair of rate and burst, and all data
-// centres of the options with equal weights.
+// A configuration with one workspace of the given rate (per second) and burst,
+// and all data centres of the options with equal weights.
 [[nodiscard]] inline configuration
 rates_configuration(const fleet_options& options, double rate, double burst)
 {
@@ -182,9 +186,10 @@
 }
 
 inline constexpr std::string_view museum_key = "cyk_m1_museum-secret";
+// An existing key id with a wrong secret.
 inline constexpr std::string_view invalid_key = "cyk_m1_guessed-secret";
 
-// Adds the workspace, key and route that the calls use.
+// Adds the workspace, key and route that virtual_calls uses.
 [[nodiscard]] inline configuration with_bookings(configuration current)
 {
     current.workspaces.push_back({"museum", 5000.0, 1000.0});
--- a/tests/support/virtual_report.hpp
+++ b/tests/support/virtual_report.hpp
@@ -1,4 +1,4 @@
-// The figures of a virtual run, against what the deployment could have done.
+// Results of a simulated run, relative to the capacity of the deployment.
 #pragma once
 
 #include "support/virtual_model.hpp"
@@ -12,26 +12,29 @@
 
 struct overload_figures
 {
-    // While the trigger lasts: requests served over those that the slots could
-    // have served, the most important first.
+    // Requests served during the trigger, divided by those that the slots could
+    // have served when allocated by priority.
     double goodput = 0.0;
-    // Served over demanded, for the most important class, and the same when
-    // every request of it that fits is served.
+    // Fraction of the most important class that was served, and the fraction
+    // that the capacity allows.
     double critical_served = 0.0;
     double critical_possible = 0.0;
-    // From the trigger's end until goodput stays at 95% of what it was before.
+    // Time from the trigger's end until goodput is back at 95% of its mean
+    // before the trigger.
     double recovery_seconds = 0.0;
-    // The least of served over max-min share.
+    // Requests served divided by the max-min fair share, at its minimum over
+    // the workspaces.
     double worst_workspace = 0.0;
-    // Requests that failed beyond those that capacity forced, over all.
+    // Requests that failed although there was capacity for them, as a fraction
+    // of all requests.
     double unforced_failures = 0.0;
-    // For each request that needs the deepest service.
+    // Attempts at the deepest service per request that needs it.
     double attempts_at_deepest = 0.0;
     std::size_t requests = 0;
 };
 
 // Slot-seconds that one request of a route takes at each service: its own work
-// and that of the calls below, for which the slot is held.
+// and that of the nested calls, during which the slot stays occupied.
 [[nodiscard]] inline std::vector<double> route_costs(
     const deployment_model& deployment, const scenario_model& scenario,
     const route_model& route)
@@ -49,19 +52,20 @@
     return costs;
 }
 
-// Requests a second of each route that the slots can serve, given the demand,
-// the most important first.
+// Requests per second of each route that the slots can serve at this demand,
+// allocated in order of importance.
 [[nodiscard]] inline std::vector<double> possible_rates(
     const deployment_model& deployment, const scenario_model& scenario,
     const std::vector<double>& demand)
 {
-    const std::size_t dead = scenario.failed_data_centre == no_index ? 0 : 1;
+    const std::size_t failed_count =
+        scenario.failed_data_centre == no_index ? 0 : 1;
     std::vector<double> free_slots;
     for (const auto& service : deployment.services)
     {
         free_slots.push_back(static_cast<double>(
             service.slots * deployment.workers_per_data_centre *
-            (deployment.data_centres - dead)));
+            (deployment.data_centres - failed_count)));
     }
     // The routes are listed in the order of their importance.
     std::vector<double> possible;
@@ -86,8 +90,8 @@
     return possible;
 }
 
-// Splits `total` over the demands: nobody gets more than its demand, and what
-// one leaves is shared by the others.
+// Max-min fair allocation of `total`: no share exceeds its demand, and the
+// unused part of a share is divided among the others.
 [[nodiscard]] inline std::vector<double>
 max_min_shares(const std::vector<double>& demands, double total)
 {
@@ -156,8 +160,8 @@
     return sum;
 }
 
-// Seconds from the trigger's end until the goodput of three windows in a row
-// is at least 95% of the mean before the trigger.
+// Seconds from the trigger's end until the goodput over three windows is at
+// least 95% of the mean before the trigger, at two successive windows.
 [[nodiscard]] inline double
 recovery_of(const scenario_model& scenario, const virtual_result& result)
 {
@@ -186,7 +190,7 @@
     int good = 0;
     for (int i = 0; i < last; ++i)
     {
-        // Poisson noise of one window is beside the point of recovery.
+        // The sum of three windows reduces the Poisson noise of a single one.
         const double three = windows[i] + windows[i + 1] + windows[i + 2];
         good = three >= 3 * 0.95 * normal ? good + 1 : 0;
         if (good == 2)
@@ -216,19 +220,19 @@
     const auto possible = possible_rates(deployment, scenario, demand);
     double served = 0.0;
     double succeeded = 0.0;
-    double wanted_deepest = 0.0;
+    double deepest_demand = 0.0;
     std::vector<double> shares(deployment.workspaces.size());
-    std::vector<double> got(deployment.workspaces.size());
+    std::vector<double> workspace_succeeded(deployment.workspaces.size());
     for (std::size_t r = 0; r < demand.size(); ++r)
     {
         served += sum_of(counts.served[r]);
         succeeded += sum_of(counts.succeeded[r]);
-        const auto entitled =
+        const auto fair_shares =
             max_min_shares(counts.demand[r], possible[r] * seconds);
         for (std::size_t w = 0; w < shares.size(); ++w)
         {
-            shares[w] += entitled[w];
-            got[w] += counts.succeeded[r][w];
+            shares[w] += fair_shares[w];
+            workspace_succeeded[w] += counts.succeeded[r][w];
         }
     }
     figures.goodput = served / (sum_of(possible) * seconds);
@@ -239,12 +243,13 @@
     figures.worst_workspace = 1e9;
     for (std::size_t w = 0; w < shares.size(); ++w)
     {
-        figures.worst_workspace =
-            std::min(figures.worst_workspace, got[w] / shares[w]);
+        figures.worst_workspace = std::min(
+            figures.worst_workspace, workspace_succeeded[w] / shares[w]);
     }
     const double total = sum_of(demand) * seconds;
     const double forced = total - sum_of(possible) * seconds;
-    // Requests are whole: a smaller part of one is an error of rounding.
+    // Counts of requests are integers: a smaller difference is a rounding
+    // error.
     constexpr double rounding_error = 1e-6;
     const double unforced = total - succeeded - forced;
     figures.unforced_failures =
@@ -252,14 +257,14 @@
     for (const auto& request : result.requests)
     {
         const auto& chain = deployment.routes[request.route].chain;
-        wanted_deepest +=
+        deepest_demand +=
             std::ranges::find(chain, deployment.services.size() - 1) !=
                     chain.end()
                 ? 1.0
                 : 0.0;
     }
     figures.attempts_at_deepest =
-        static_cast<double>(result.attempts.back()) / wanted_deepest;
+        static_cast<double>(result.attempts.back()) / deepest_demand;
     return figures;
 }
 
--- a/tests/support/virtual_run.hpp
+++ b/tests/support/virtual_run.hpp
@@ -35,17 +35,18 @@
     return demand;
 }
 
-// The workspace's own rate, kept exactly for the whole fleet.
+// Takes a token from the workspace's rate limit, which is exact over the whole
+// fleet. Returns false when there is none.
 inline bool take_rate_token(call_fleet& fleet, std::size_t workspace)
 {
     const deployment_model& deployment = fleet.deployment;
     const double rate = deployment.demand *
                         deployment.workspaces[workspace].share *
                         fleet.scenario.rate_multiple;
-    workspace_bucket& entry = fleet.rates[workspace];
-    const double elapsed = to_seconds(fleet.clock.now - entry.at);
+    workspace_bucket& entry = fleet.workspace_buckets[workspace];
+    const double elapsed = to_seconds(fleet.clock.now - entry.refilled_at);
     entry.tokens = std::min(rate / 2, entry.tokens + rate * elapsed);
-    entry.at = fleet.clock.now;
+    entry.refilled_at = fleet.clock.now;
     if (entry.tokens < 1.0)
     {
         return false;
@@ -54,7 +55,8 @@
     return true;
 }
 
-// One sending of a caller's request; it is sent again when it fails.
+// Sends a caller's request to a random running host, and again after a delay
+// when it fails.
 inline void
 send_request(call_fleet& fleet, std::size_t index, std::uint32_t retries_left)
 {
@@ -92,22 +94,23 @@
         });
 }
 
-// Poisson arrivals at the larger of the two rates, thinned to the present one.
+// Poisson arrivals at the larger of the two rates, thinned to the current one.
 inline void
 schedule_arrival(call_fleet& fleet, std::size_t route, std::size_t workspace)
 {
-    const double calm = demand_of(fleet, route, workspace, false);
+    const double normal = demand_of(fleet, route, workspace, false);
     const double peak =
-        std::max(calm, demand_of(fleet, route, workspace, true));
+        std::max(normal, demand_of(fleet, route, workspace, true));
     const double wait = -std::log(1.0 - random_fraction(fleet.random)) / peak;
     run_after(
         fleet.clock, from_seconds(wait),
         [&fleet, route, workspace, peak]()
         {
-            const double present =
+            const double current_demand =
                 demand_of(fleet, route, workspace, is_trigger_active(fleet));
-            const bool wanted = random_fraction(fleet.random) * peak < present;
-            if (wanted && take_rate_token(fleet, workspace))
+            const bool is_accepted =
+                random_fraction(fleet.random) * peak < current_demand;
+            if (is_accepted && take_rate_token(fleet, workspace))
             {
                 fleet.result.requests.push_back(
                     {fleet.clock.now, {}, route, workspace, false});
@@ -131,8 +134,8 @@
         });
 }
 
-// All that runs at the host ends without a word; the others learn of the death
-// after the suspicion time.
+// Ends all attempts at the host without a reply. The other hosts route to it
+// until the suspicion time has passed.
 inline void crash_host(call_fleet& fleet, virtual_host& host)
 {
     host.is_up = false;
@@ -158,20 +161,21 @@
     (void)gate_set_upstream(host.gate, record_of(fleet, host), fleet.clock.now);
 }
 
-inline void set_trigger_faults(call_fleet& fleet, bool on)
+// Starts or ends the faults of the scenario's trigger.
+inline void set_trigger_faults(call_fleet& fleet, bool is_active)
 {
     const scenario_model& scenario = fleet.scenario;
     for (auto& host : fleet.hosts)
     {
         if (host->service == scenario.slow_service)
         {
-            host->upstream.slow_factor = on ? scenario.slow_factor : 1.0;
+            host->upstream.slow_factor = is_active ? scenario.slow_factor : 1.0;
         }
         if (host->data_centre != scenario.failed_data_centre)
         {
             continue;
         }
-        if (on)
+        if (is_active)
         {
             crash_host(fleet, *host);
         }
@@ -184,7 +188,7 @@
     {
         constexpr duration suspicion_time = 3s;
         run_after(
-            fleet.clock, on ? suspicion_time : duration(500ms),
+            fleet.clock, is_active ? suspicion_time : duration(500ms),
             [&fleet]()
             {
                 publish_routing(fleet);
@@ -203,7 +207,7 @@
     fleet.random.seed(scenario.seed);
     fleet.result.started = fleet.clock.now;
     fleet.result.attempts.resize(deployment.services.size());
-    fleet.rates.resize(deployment.workspaces.size());
+    fleet.workspace_buckets.resize(deployment.workspaces.size());
     build_hosts(fleet);
     for (auto& host : fleet.hosts)
     {
--- a/tests/support/virtual_scenarios.hpp
+++ b/tests/support/virtual_scenarios.hpp
@@ -1,4 +1,4 @@
-// The two deployments and the scenarios that the overload policy is held to.
+// Deployments and scenarios of the overload tests and benchmark.
 #pragma once
 
 #include "support/virtual_model.hpp"
