--- a/tests/core/overload_regression_test.cpp
+++ b/tests/core/overload_regression_test.cpp
@@ -106,6 +106,8 @@
 INSTANTIATE_TEST_SUITE_P(
     all, overload_regression, testing::ValuesIn(all_cases()), case_name);
 
+// Guards against failed requests while no scenario is active and demand is
+// below capacity.
 TEST(overload, no_request_fails_without_overload)
 {
     for (const auto& deployment : {brno(), badge_office()})
--- a/tests/process/node_test.cpp
+++ b/tests/process/node_test.cpp
@@ -92,6 +92,8 @@
     fleet hosts;
 };
 
+// Guards against workspace keys that reach an upstream, from the request or
+// through child calls, and against requests that run without a key.
 TEST_F(two_nodes, keys_are_not_forwarded_to_upstreams)
 {
     http_call call{http::verb::get, "/booking/" + key.substr(0, 3), key};
@@ -125,6 +127,8 @@
     }
 }
 
+// Guards against a withdrawn key that is still accepted on a connection that
+// was open before the withdrawal.
 TEST_F(two_nodes, withdrawn_key_is_refused_on_open_connections)
 {
     client connection(callers(1));
@@ -140,6 +144,8 @@
         std::chrono::seconds(3)));
 }
 
+// Guards against wrong outcomes and repeated runs when an upstream crashes
+// during a never-repeat request.
 TEST_F(two_nodes, outcomes_match_runs_when_an_upstream_crashes)
 {
     {
@@ -167,6 +173,7 @@
     }
 }
 
+// Guards against failed requests and truncated replies with bodies of 8 MiB.
 TEST_F(two_nodes, large_bodies_arrive_complete)
 {
     constexpr std::size_t size = 8 * 1024 * 1024;
@@ -178,6 +185,8 @@
     EXPECT_EQ(answer.body.size(), size);
 }
 
+// Guards against requests that fail after they may have run, while an upstream
+// and its node stop on SIGTERM.
 TEST_F(two_nodes, planned_stop_aborts_no_request)
 {
     std::atomic<bool> done{false};
@@ -212,6 +221,8 @@
     EXPECT_EQ(hosts.nodes[0]->wait(), 0);
 }
 
+// Guards against a node that crashes or sends no error reply on malformed HTTP,
+// and against a peers port that serves other clients.
 TEST_F(two_nodes, malformed_input_is_refused_and_node_keeps_serving)
 {
     using boost::asio::ip::tcp;
@@ -242,6 +253,8 @@
     EXPECT_TRUE(hosts.wait_until_served(0, "/charge/still", key));
 }
 
+// Guards against requests that fail because the platform is down, and against a
+// node that sends no reply while another node is stopped.
 TEST_F(two_nodes, node_replies_without_platform_or_peer)
 {
     const auto down = send_once(
--- a/tests/support/fleet_calls.hpp
+++ b/tests/support/fleet_calls.hpp
@@ -17,7 +17,7 @@
 struct virtual_call
 {
     std::uint64_t id = 0;
-    host_id entry = host_id::none;
+    host_id entry_host = host_id::none;
     std::uint64_t entry_incarnation = 0;
     call_request request;
     call_state state;
@@ -86,7 +86,7 @@
         const std::uint64_t id = ++last_id_;
         virtual_call& call = calls[id];
         call.id = id;
-        call.entry = node.host;
+        call.entry_host = node.host;
         call.entry_incarnation = node.incarnation;
         call.state.id = id;
         call.request.method = "POST";
@@ -141,7 +141,7 @@
 
     bool is_entry_running(const virtual_call& call) const
     {
-        const virtual_node& node = *fleet_.nodes.at(call.entry);
+        const virtual_node& node = *fleet_.nodes.at(call.entry_host);
         return node.up && node.incarnation == call.entry_incarnation;
     }
 
@@ -343,7 +343,8 @@
         const attempt_result& result)
     {
         fleet_.network.transmit(
-            target, *fleet_.nodes.at(calls.at(id).entry), transport::stream,
+            target, *fleet_.nodes.at(calls.at(id).entry_host),
+            transport::stream,
             [this, id, attempt, result]
             {
                 finish_attempt(id, attempt, result);
@@ -354,7 +355,7 @@
         std::uint64_t id, std::uint32_t attempt, const attempt_result& result)
     {
         virtual_call& call = calls.at(id);
-        virtual_node& node = *fleet_.nodes.at(call.entry);
+        virtual_node& node = *fleet_.nodes.at(call.entry_host);
         if (call.ended || call.attempt != attempt || !is_entry_running(call))
         {
             return;
--- a/tests/support/virtual_fleet.hpp
+++ b/tests/support/virtual_fleet.hpp
@@ -95,7 +95,7 @@
         schedule_tick(node, now());
     }
 
-    // Discards the node's state. Messages that it has sent are delivered.
+    // Discards the node's state. Messages in flight may still be delivered.
     void crash(virtual_node& node)
     {
         node.up = false;
