--- a/tests/core/fleet_fuzz_test.cpp
+++ b/tests/core/fleet_fuzz_test.cpp
@@ -36,7 +36,8 @@
             rc::gen::inRange<std::uint32_t>(0, 3000)));
 }
 
-// Demand while a fault lasts: at one node, or in turn at all.
+// Offers requests for the duration of a fault: at one node, or at all nodes in
+// turn.
 void offer_during(
     virtual_fleet& fleet, const fleet_fault& fault, double offered_rate)
 {
@@ -46,21 +47,22 @@
     while (fleet.now() < end)
     {
         number += fault.kind == fault_kind::demand_at_node ? 0 : 1;
-        fleet.offer(node_number(fleet, number), school, 2s);
+        fleet.offer(node_at(fleet, number), school, 2s);
         fleet.run_for(from_seconds(1.0 / offered_rate));
     }
 }
 
-// One run: faults in turn under demand, then a healthy end. Returns what was
-// violated, or nothing.
-std::string run_rates_story(
+// Applies the faults in turn under load, ends them all and checks that the
+// fleet recovers. Returns a description of what was violated, or an empty
+// string.
+std::string run_rates_under_faults(
     const std::vector<fleet_fault>& faults, std::uint64_t seed,
     duration removal_time)
 {
     fleet_options options;
     options.seed = seed;
     options.links = {0.01, 0.02, 200us, 3ms, 0.0005};
-    options.given_members = seed % 8 != 0;
+    options.fixed_members = seed % 8 != 0;
     options.rates.removal_time = removal_time;
     virtual_fleet fleet(options);
     fleet.settings = std::make_shared<const configuration>(
@@ -69,7 +71,7 @@
     oracle.rate = 60.0;
     oracle.burst = 18.0;
     std::string violation;
-    fleet.after_step = [&](virtual_node&)
+    fleet.after_event = [&](virtual_node&)
     {
         if (const double sum = largest_weight_sum(fleet, school);
             sum > 1.0 + 1e-9 && violation.empty())
@@ -78,7 +80,7 @@
         }
     };
     fleet_cuts cuts;
-    watch_cuts(fleet, cuts);
+    install_cuts(fleet, cuts);
     fleet.start_all();
     for (const auto& fault : faults)
     {
@@ -114,6 +116,8 @@
     return {};
 }
 
+// Guards against admissions above rate and burst, weights in use that sum to
+// more than the whole, and refusals below the rate after the faults have ended.
 RC_GTEST_PROP(fleet_fuzz, rates_hold_under_faults, ())
 {
     const auto faults = *rc::gen::scale(
@@ -121,27 +125,28 @@
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     const bool quick_removal = *rc::gen::arbitrary<bool>();
     RC_ASSERT(
-        run_rates_story(
+        run_rates_under_faults(
             faults, seed, quick_removal ? duration(14s) : duration(60s)) == "");
 }
 
-// The keys of one story, with the time of their first use.
+// An idempotency key with the time of its first use.
 struct used_key
 {
     std::string text;
     time_point first_used{};
 };
 
+// Returns a ticket issued by a node, a version 7 UUID or a key without a time.
 std::string new_key(virtual_fleet& fleet, std::uint64_t number)
 {
-    virtual_node& node = node_number(fleet, random_below(fleet.random, 12));
-    const std::uint64_t choice = random_below(fleet.random, 10);
-    if (choice < 6 && node.up)
+    virtual_node& node = node_at(fleet, random_below(fleet.random, 12));
+    const std::uint64_t key_kind = random_below(fleet.random, 10);
+    if (key_kind < 6 && node.up)
     {
         return claims_issue_ticket(
             node.control->claims, inputs_of_claims(*node.control), node.random);
     }
-    if (choice < 9)
+    if (key_kind < 9)
     {
         const auto ms = static_cast<unsigned long long>(fleet.wall_ms(node));
         std::array<char, 64> text{};
@@ -153,18 +158,20 @@
     return "order-" + std::to_string(number);
 }
 
-// A caller sends a new request, or one again that was sent before.
+// Sends a new request, repeats an earlier one, or sends one with an invalid
+// key.
 void call_somewhere(
     virtual_fleet& fleet, virtual_calls& calls, std::vector<used_key>& keys)
 {
     random_source& random = fleet.random;
-    virtual_node& node = node_number(fleet, random_below(random, 12));
+    virtual_node& node = node_at(fleet, random_below(random, 12));
     if (random_below(random, 20) == 0)
     {
-        calls.begin(node, "", stranger_key);
+        calls.begin(node, "", invalid_key);
         return;
     }
-    // Plain keys are only remembered for a time, so they are not used longer.
+    // Keys without a time are stored only for a limited time, so they are not
+    // repeated after that.
     constexpr duration repeat_time = 10s;
     std::erase_if(
         keys,
@@ -187,13 +194,14 @@
     calls.begin(node, key, museum_key);
 }
 
-std::string
-run_claims_story(const std::vector<fleet_fault>& faults, std::uint64_t seed)
+// As run_rates_under_faults(), for claims of never-repeat requests.
+std::string run_claims_under_faults(
+    const std::vector<fleet_fault>& faults, std::uint64_t seed)
 {
     fleet_options options;
     options.seed = seed;
     options.links = {0.01, 0.02, 200us, 3ms, 0.0005};
-    options.given_members = seed % 8 != 0;
+    options.fixed_members = seed % 8 != 0;
     options.claims.retention = 30s;
     options.claims.claim_term = 4s;
     virtual_fleet fleet(options);
@@ -201,7 +209,7 @@
         with_bookings(rates_configuration(options, 60.0, 18.0)));
     virtual_calls calls(fleet);
     fleet_cuts cuts;
-    watch_cuts(fleet, cuts);
+    install_cuts(fleet, cuts);
     std::vector<used_key> keys;
     fleet.start_all();
     fleet.run_for(2s);
@@ -225,7 +233,7 @@
     const std::uint64_t before = calls.delivered;
     for (int number = 0; number < 50; ++number)
     {
-        virtual_node& node = node_number(fleet, number);
+        virtual_node& node = node_at(fleet, number);
         calls.begin(
             node,
             claims_issue_ticket(
@@ -243,12 +251,14 @@
     return calls.violation;
 }
 
+// Guards against a second run of a never-repeat request, a request that ran but
+// is reported as not-run, and requests that fail after the faults have ended.
 RC_GTEST_PROP(fleet_fuzz, never_repeat_holds_under_faults, ())
 {
     const auto faults = *rc::gen::scale(
         0.3, rc::gen::container<std::vector<fleet_fault>>(arbitrary_fault()));
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
-    RC_ASSERT(run_claims_story(faults, seed) == "");
+    RC_ASSERT(run_claims_under_faults(faults, seed) == "");
 }
 
 } // namespace
--- a/tests/core/overload_regression_test.cpp
+++ b/tests/core/overload_regression_test.cpp
@@ -1,5 +1,6 @@
-// The overload targets, on both deployments under a virtual clock: one test a
-// deployment and scenario, so that a shortfall has a name of its own.
+// Overload targets on both deployments, on a virtual clock. Each target,
+// deployment and scenario is a test of its own, so that a missed target is
+// reported by name.
 #include "support/virtual_report.hpp"
 #include "support/virtual_run.hpp"
 #include "support/virtual_scenarios.hpp"
@@ -13,12 +14,12 @@
 namespace
 {
 
-constexpr double least_goodput = 0.95;
-constexpr double least_critical_served = 0.999;
-constexpr double longest_recovery_seconds = 2.0;
-constexpr double least_workspace_share = 0.9;
-// Of all requests; the target is none.
-constexpr double most_unforced_failures = 0.0;
+constexpr double min_goodput = 0.95;
+constexpr double min_critical_served = 0.999;
+constexpr double max_recovery_seconds = 2.0;
+constexpr double min_workspace_share = 0.9;
+// As a fraction of all requests; the target is none.
+constexpr double max_unforced_failures = 0.0;
 
 struct overload_case
 {
@@ -68,7 +69,7 @@
 
 TEST_P(overload_regression, goodput)
 {
-    EXPECT_GE(figures_of(GetParam()).goodput, least_goodput);
+    EXPECT_GE(figures_of(GetParam()).goodput, min_goodput);
 }
 
 TEST_P(overload_regression, critical_served)
@@ -76,28 +77,27 @@
     const auto figures = figures_of(GetParam());
     EXPECT_GE(
         figures.critical_served,
-        least_critical_served * figures.critical_possible);
+        min_critical_served * figures.critical_possible);
 }
 
 TEST_P(overload_regression, worst_workspace)
 {
-    EXPECT_GE(figures_of(GetParam()).worst_workspace, least_workspace_share);
+    EXPECT_GE(figures_of(GetParam()).worst_workspace, min_workspace_share);
 }
 
 TEST_P(overload_regression, no_unforced_failures)
 {
-    EXPECT_LE(figures_of(GetParam()).unforced_failures, most_unforced_failures);
+    EXPECT_LE(figures_of(GetParam()).unforced_failures, max_unforced_failures);
 }
 
 TEST_P(overload_regression, recovery)
 {
-    EXPECT_LE(
-        figures_of(GetParam()).recovery_seconds, longest_recovery_seconds);
+    EXPECT_LE(figures_of(GetParam()).recovery_seconds, max_recovery_seconds);
 }
 
 TEST_P(overload_regression, attempts_at_deepest)
 {
-    // One attempt each, one in ten as a retry, and the callers' re-sends.
+    // One attempt each, one retry per ten attempts, and the callers' retries.
     EXPECT_LE(
         figures_of(GetParam()).attempts_at_deepest,
         1.1 * (1 + GetParam().scenario.caller_retries));
@@ -106,7 +106,9 @@
 INSTANTIATE_TEST_SUITE_P(
     all, overload_regression, testing::ValuesIn(all_cases()), case_name);
 
-TEST(overload, nothing_is_refused_in_calm)
+// Guards against failed requests while no scenario is active and demand is
+// below capacity.
+TEST(overload, no_request_fails_without_overload)
 {
     for (const auto& deployment : {brno(), badge_office()})
     {
--- a/tests/support/fake_fleet.hpp
+++ b/tests/support/fake_fleet.hpp
@@ -1,5 +1,5 @@
-// Many nodes' membership and configuration in one process, under a virtual
-// clock, on links and a platform whose faults can be switched.
+// Membership and configuration of many nodes in one process, on a virtual
+// clock, with fault injection on the links and the platform.
 #pragma once
 
 #include "core/configuration/chain.hpp"
@@ -20,7 +20,8 @@
 
 struct fleet_link_faults
 {
-    // Of datagrams; streams lose whole links only.
+    // Probability for each datagram. Streams lose messages only while a link is
+    // down.
     double loss = 0.0;
     double duplication = 0.0;
     duration shortest_delay = 500us;
@@ -41,9 +42,10 @@
     // Local clock = offset + true time * (1 + drift).
     duration clock_offset{};
     double clock_drift = 0.0;
-    // The life that a message or reply is meant for.
-    std::uint64_t life = 0;
-    time_point wake_at = time_point::max();
+    // Incremented at each start and crash. Messages and replies for an earlier
+    // incarnation are dropped.
+    std::uint64_t incarnation = 0;
+    time_point next_tick_at = time_point::max();
     std::uint64_t bytes_sent = 0;
     std::uint64_t messages_sent = 0;
     std::uint64_t platform_calls = 0;
@@ -55,13 +57,13 @@
     time_point at{};
     std::uint64_t order = 0;
     std::size_t node = 0;
-    std::uint64_t life = 0;
-    // A message, or a wake-up without one.
+    std::uint64_t incarnation = 0;
+    // Absent for a tick.
     std::optional<outgoing_message> message;
     host_id from = host_id::none;
 };
 
-struct later_event
+struct later_fleet_event
 {
     bool operator()(const fleet_event& left, const fleet_event& right) const
     {
@@ -69,7 +71,7 @@
     }
 };
 
-// Bytes of the IP and UDP headers that each datagram costs besides.
+// Bytes of the IP and UDP headers of a datagram.
 constexpr std::size_t datagram_header_size = 28;
 
 struct fake_fleet
@@ -83,12 +85,14 @@
     std::uint64_t wall_clock_ms = 1'700'000'000'000;
     std::vector<fleet_node> nodes;
     std::map<host_id, std::size_t> index;
-    // Whether a message may pass from one node to the other.
-    std::function<bool(const fleet_node&, const fleet_node&)> may_pass;
-    std::priority_queue<fleet_event, std::vector<fleet_event>, later_event>
+    // Returns whether messages from the first node reach the second; empty when
+    // all links are up.
+    std::function<bool(const fleet_node&, const fleet_node&)> is_link_up;
+    std::priority_queue<
+        fleet_event, std::vector<fleet_event>, later_fleet_event>
         queue;
     std::uint64_t next_order = 0;
-    bool keep_events = true;
+    bool record_events = true;
     std::size_t largest_datagram = 0;
 };
 
@@ -110,41 +114,42 @@
     return time_point{from_seconds(since / (1.0 + node.clock_drift)) + 1us};
 }
 
-// One life of a node, as the platform sees it.
-inline store_caller caller_of(const fleet_node& node, std::size_t place)
+// Identifies one incarnation of a node to the platform.
+inline store_caller caller_of(const fleet_node& node, std::size_t node_index)
 {
-    return (node.life << 32) | place;
+    return (node.incarnation << 32) | node_index;
 }
 
 inline std::size_t add_node(
     fake_fleet& fleet, const std::string& data_centre, duration offset = {})
 {
-    const std::size_t place = fleet.nodes.size();
+    const std::size_t node_index = fleet.nodes.size();
     fleet_node node;
-    node.host =
-        make_host_id(0x0a000000U + static_cast<std::uint32_t>(place) + 1, 7400);
+    node.host = make_host_id(
+        0x0a000000U + static_cast<std::uint32_t>(node_index) + 1, 7400);
     node.data_centre_name = data_centre;
     node.settings.self = node.host;
     node.settings.data_centre = data_centre_id_of(data_centre);
     node.settings.data_centre_name = data_centre;
     node.random.seed(fleet.random());
     node.clock_offset = offset;
-    fleet.index[node.host] = place;
+    fleet.index[node.host] = node_index;
     fleet.nodes.push_back(std::move(node));
-    return place;
+    return node_index;
 }
 
-inline void schedule_wake(fake_fleet& fleet, std::size_t place)
+inline void schedule_node_tick(fake_fleet& fleet, std::size_t node_index)
 {
-    fleet_node& node = fleet.nodes[place];
+    fleet_node& node = fleet.nodes[node_index];
     const time_point due =
         std::min(membership_due(*node.membership), chain_due(*node.chain));
     time_point at = std::max(true_time(node, due), fleet.now);
     at = std::max(at, node.paused_until);
-    if (at < node.wake_at || node.wake_at <= fleet.now)
+    if (at < node.next_tick_at || node.next_tick_at <= fleet.now)
     {
-        node.wake_at = at;
-        fleet.queue.push({at, fleet.next_order++, place, node.life, {}, {}});
+        node.next_tick_at = at;
+        fleet.queue.push(
+            {at, fleet.next_order++, node_index, node.incarnation, {}, {}});
     }
 }
 
@@ -166,7 +171,7 @@
         return;
     }
     const fleet_node& receiver = fleet.nodes[target->second];
-    if (fleet.may_pass && !fleet.may_pass(node, receiver))
+    if (fleet.is_link_up && !fleet.is_link_up(node, receiver))
     {
         return;
     }
@@ -181,7 +186,7 @@
     {
         const duration spread =
             fleet.faults.longest_delay - fleet.faults.shortest_delay;
-        // Streams keep their order.
+        // A constant delay keeps the messages of a stream in order.
         const duration delay =
             is_datagram
                 ? fleet.faults.shortest_delay +
@@ -190,14 +195,14 @@
                 : fleet.faults.longest_delay;
         fleet.queue.push(
             {fleet.now + delay, fleet.next_order++, target->second,
-             receiver.life, message, node.host});
+             receiver.incarnation, message, node.host});
     }
 }
 
-inline void
-carry_out(fake_fleet& fleet, std::size_t place, control_actions& actions)
+inline void perform_actions(
+    fake_fleet& fleet, std::size_t node_index, control_actions& actions)
 {
-    fleet_node& node = fleet.nodes[place];
+    fleet_node& node = fleet.nodes[node_index];
     for (const auto& message : actions.messages)
     {
         send_over_link(fleet, node, message);
@@ -213,31 +218,32 @@
             reply.status = platform_status::unavailable;
             fleet.platform.answers.emplace(
                 fleet.now + call.timeout,
-                store_answer{caller_of(node, place), reply});
+                store_answer{caller_of(node, node_index), reply});
             continue;
         }
-        store_call(fleet.platform, caller_of(node, place), call, fleet.now);
+        store_call(
+            fleet.platform, caller_of(node, node_index), call, fleet.now);
     }
-    if (fleet.keep_events)
+    if (fleet.record_events)
     {
-        for (auto& happened : actions.events)
+        for (auto& recorded : actions.events)
         {
-            node.events.push_back(std::move(happened));
+            node.events.push_back(std::move(recorded));
         }
     }
     publish_to_membership(*node.chain, *node.membership);
-    schedule_wake(fleet, place);
+    schedule_node_tick(fleet, node_index);
 }
 
-inline void start_node(fake_fleet& fleet, std::size_t place)
+inline void start_node(fake_fleet& fleet, std::size_t node_index)
 {
-    fleet_node& node = fleet.nodes[place];
+    fleet_node& node = fleet.nodes[node_index];
     node.membership = std::make_unique<membership_state>();
     node.chain = std::make_unique<chain_state>();
     node.running = true;
     node.paused_until = {};
-    node.wake_at = time_point::max();
-    ++node.life;
+    node.next_tick_at = time_point::max();
+    ++node.incarnation;
     control_actions actions;
     const time_point local = local_time(node, fleet.now);
     membership_start(
@@ -246,24 +252,25 @@
     chain_start(
         *node.chain, {node.host, node.settings.data_centre}, local, node.random,
         actions);
-    carry_out(fleet, place, actions);
+    perform_actions(fleet, node_index, actions);
 }
 
-// Ends a node without a word.
-inline void kill_node(fake_fleet& fleet, std::size_t place)
+// Stops a node without a message to its peers.
+inline void crash_node(fake_fleet& fleet, std::size_t node_index)
 {
-    fleet_node& node = fleet.nodes[place];
-    store_drop_caller(fleet.platform, caller_of(node, place));
+    fleet_node& node = fleet.nodes[node_index];
+    store_drop_caller(fleet.platform, caller_of(node, node_index));
     node.running = false;
-    ++node.life;
+    ++node.incarnation;
 }
 
-// The node's calls under way get no answer but their timeout.
-inline void cut_from_platform(fake_fleet& fleet, std::size_t place)
+// Disconnects a node from the platform. Its calls in progress fail as
+// unavailable after 2 s.
+inline void cut_from_platform(fake_fleet& fleet, std::size_t node_index)
 {
-    fleet_node& node = fleet.nodes[place];
+    fleet_node& node = fleet.nodes[node_index];
     node.cut_from_platform = true;
-    const store_caller caller = caller_of(node, place);
+    const store_caller caller = caller_of(node, node_index);
     std::vector<platform_reply> replies;
     for (const auto* calls :
          {&fleet.platform.in_transit, &fleet.platform.watches})
@@ -299,14 +306,14 @@
     }
 }
 
-inline void tick_node(fake_fleet& fleet, std::size_t place)
+inline void tick_node(fake_fleet& fleet, std::size_t node_index)
 {
-    fleet_node& node = fleet.nodes[place];
+    fleet_node& node = fleet.nodes[node_index];
     control_actions actions;
     const time_point local = local_time(node, fleet.now);
     membership_tick(*node.membership, local, node.random, actions);
     chain_tick(*node.chain, *node.membership, local, node.random, actions);
-    carry_out(fleet, place, actions);
+    perform_actions(fleet, node_index, actions);
 }
 
 inline void deliver(fake_fleet& fleet, const fleet_event& arrived)
@@ -327,19 +334,19 @@
             *node.chain, *node.membership, message, local, node.random,
             actions);
     }
-    carry_out(fleet, arrived.node, actions);
+    perform_actions(fleet, arrived.node, actions);
 }
 
-inline void
-take_reply(fake_fleet& fleet, store_caller caller, const platform_reply& reply)
+inline void receive_platform_reply(
+    fake_fleet& fleet, store_caller caller, const platform_reply& reply)
 {
-    const std::size_t place = caller & 0xffffffff;
-    if (place >= fleet.nodes.size())
+    const std::size_t node_index = caller & 0xffffffff;
+    if (node_index >= fleet.nodes.size())
     {
         return;
     }
-    fleet_node& node = fleet.nodes[place];
-    if (!node.running || caller != caller_of(node, place))
+    fleet_node& node = fleet.nodes[node_index];
+    if (!node.running || caller != caller_of(node, node_index))
     {
         return;
     }
@@ -355,33 +362,33 @@
         chain_on_platform_reply(
             *node.chain, *node.membership, reply, local, node.random, actions);
     }
-    carry_out(fleet, place, actions);
+    perform_actions(fleet, node_index, actions);
 }
 
-inline void run_event(fake_fleet& fleet, fleet_event happened)
+inline void run_event(fake_fleet& fleet, fleet_event current)
 {
-    fleet_node& node = fleet.nodes[happened.node];
-    if (!node.running || happened.life != node.life)
+    fleet_node& node = fleet.nodes[current.node];
+    if (!node.running || current.incarnation != node.incarnation)
     {
         return;
     }
     if (fleet.now < node.paused_until)
     {
-        // Held by the paused host's socket until it goes on.
-        happened.at = node.paused_until;
-        happened.order = fleet.next_order++;
-        fleet.queue.push(std::move(happened));
+        // The socket of the paused host buffers it until the host resumes.
+        current.at = node.paused_until;
+        current.order = fleet.next_order++;
+        fleet.queue.push(std::move(current));
         return;
     }
-    if (happened.message.has_value())
+    if (current.message.has_value())
     {
-        deliver(fleet, happened);
+        deliver(fleet, current);
         return;
     }
-    if (happened.at == node.wake_at)
+    if (current.at == node.next_tick_at)
     {
-        node.wake_at = time_point::max();
-        tick_node(fleet, happened.node);
+        node.next_tick_at = time_point::max();
+        tick_node(fleet, current.node);
     }
 }
 
@@ -402,13 +409,13 @@
         fleet.now = std::max(fleet.now, next);
         for (const auto& answer : store_poll(fleet.platform, fleet.now))
         {
-            take_reply(fleet, answer.caller, answer.reply);
+            receive_platform_reply(fleet, answer.caller, answer.reply);
         }
         if (next_event <= fleet.now && !fleet.queue.empty())
         {
-            fleet_event happened = fleet.queue.top();
+            fleet_event current = fleet.queue.top();
             fleet.queue.pop();
-            run_event(fleet, std::move(happened));
+            run_event(fleet, std::move(current));
         }
         if (after_each)
         {
@@ -423,7 +430,8 @@
     run_until(fleet, fleet.now + span);
 }
 
-// Runs until the condition holds; false when it does not within `limit`.
+// Runs until the condition holds, and checks it every 50 ms. Returns false when
+// it does not hold within `limit`.
 inline bool run_until_true(
     fake_fleet& fleet, duration limit, const std::function<bool()>& condition)
 {
@@ -439,22 +447,24 @@
     return true;
 }
 
-// Lets a node's subsystem act outside of events.
-inline void
-act(fake_fleet& fleet, std::size_t place,
+// Calls `action` on a node outside of scheduled events, and performs the
+// actions that it produces.
+inline void run_on_node(
+    fake_fleet& fleet, std::size_t node_index,
     const std::function<void(
         fleet_node&, time_point, random_source&, control_actions&)>& action)
 {
-    fleet_node& node = fleet.nodes[place];
+    fleet_node& node = fleet.nodes[node_index];
     control_actions actions;
     action(node, local_time(node, fleet.now), node.random, actions);
-    carry_out(fleet, place, actions);
+    perform_actions(fleet, node_index, actions);
 }
 
-inline void
-announce(fake_fleet& fleet, std::size_t place, const upstream_record& record)
+inline void set_node_upstream(
+    fake_fleet& fleet, std::size_t node_index, const upstream_record& record)
 {
-    act(fleet, place,
+    run_on_node(
+        fleet, node_index,
         [&](fleet_node& node, time_point now, random_source& random,
             control_actions& actions)
         {
@@ -471,7 +481,8 @@
     return found == members.end() ? member_state::left : found->second.state;
 }
 
-// Whether every running node sees all running ones alive, and no other.
+// Returns whether the alive members of every running node are exactly the other
+// running nodes, each with its current incarnation and upstream.
 inline bool is_converged(const fake_fleet& fleet)
 {
     std::size_t running = 0;
@@ -486,15 +497,15 @@
             continue;
         }
         std::size_t alive = 0;
-        for (const auto& [host, known] : viewer.membership->members)
+        for (const auto& [host, entry] : viewer.membership->members)
         {
             const fleet_node& subject = fleet.nodes[fleet.index.at(host)];
-            const bool is_alive = known.state == member_state::alive;
+            const bool is_alive = entry.state == member_state::alive;
             if (is_alive != subject.running ||
                 (is_alive &&
-                 (known.host_incarnation !=
+                 (entry.host_incarnation !=
                       subject.membership->self_incarnation ||
-                  known.upstream != subject.membership->local_upstream)))
+                  entry.upstream != subject.membership->local_upstream)))
             {
                 return false;
             }
@@ -508,15 +519,15 @@
     return true;
 }
 
-// A fleet of `count` running nodes spread over data centres.
+// Adds and starts `count` nodes, assigned to the data centres in turn.
 inline void add_nodes(
     fake_fleet& fleet, const std::vector<std::string>& data_centres,
     std::size_t count)
 {
-    for (std::size_t place = 0; place < count; ++place)
+    for (std::size_t node_index = 0; node_index < count; ++node_index)
     {
         const auto added =
-            add_node(fleet, data_centres[place % data_centres.size()]);
+            add_node(fleet, data_centres[node_index % data_centres.size()]);
         start_node(fleet, added);
     }
 }
--- a/tests/support/fleet_faults.hpp
+++ b/tests/support/fleet_faults.hpp
@@ -1,5 +1,5 @@
-// Random faults for the virtual fleet, as a list that a property test can
-// generate, print and shrink; and checks that must hold after each event.
+// Faults for the virtual fleet, as values that a property test can generate,
+// print and shrink, and the weights that tests check after each event.
 #pragma once
 
 #include "core/rates/rates_context.hpp"
@@ -22,7 +22,7 @@
     pause,
     cut_data_centre,
     cut_from_platform,
-    // Messages from the node are lost, those to it arrive.
+    // Messages from the node are lost; messages to it arrive.
     cut_one_way,
     cut_node,
     platform_down,
@@ -48,7 +48,7 @@
                << ", " << fault.milliseconds << "}";
 }
 
-// The cuts in force.
+// Network and platform connections that are currently cut.
 struct fleet_cuts
 {
     std::set<data_centre_id> data_centres;
@@ -57,16 +57,18 @@
     std::set<host_id> nodes;
 };
 
-inline virtual_node& node_number(virtual_fleet& fleet, std::size_t number)
+inline virtual_node& node_at(virtual_fleet& fleet, std::size_t number)
 {
     auto entry = fleet.nodes.begin();
     std::advance(entry, number % fleet.nodes.size());
     return *entry->second;
 }
 
-inline void watch_cuts(virtual_fleet& fleet, const fleet_cuts& cuts)
+// Makes the fleet's links and platform connections follow `cuts`, which must
+// outlive the fleet's run.
+inline void install_cuts(virtual_fleet& fleet, const fleet_cuts& cuts)
 {
-    fleet.network.connected =
+    fleet.network.is_link_up =
         [&cuts](const virtual_node& from, const virtual_node& to)
     {
         if (cuts.nodes.contains(from.host) || cuts.nodes.contains(to.host) ||
@@ -88,7 +90,7 @@
 inline void
 apply_fault(virtual_fleet& fleet, fleet_cuts& cuts, const fleet_fault& fault)
 {
-    virtual_node& node = node_number(fleet, fault.node);
+    virtual_node& node = node_at(fleet, fault.node);
     switch (fault.kind)
     {
     case fault_kind::crash:
@@ -106,7 +108,7 @@
         return;
     case fault_kind::pause:
         fleet.pause(node, std::chrono::milliseconds(fault.milliseconds * 5));
-        node.out_of_reach_since = fleet.now();
+        node.unreachable_since = fleet.now();
         return;
     case fault_kind::cut_data_centre:
         cuts.data_centres.insert(node.data_centre);
@@ -116,11 +118,11 @@
         return;
     case fault_kind::cut_one_way:
         cuts.one_way.insert(node.host);
-        node.out_of_reach_since = fleet.now();
+        node.unreachable_since = fleet.now();
         return;
     case fault_kind::cut_node:
         cuts.nodes.insert(node.host);
-        node.out_of_reach_since = fleet.now();
+        node.unreachable_since = fleet.now();
         return;
     case fault_kind::platform_down:
         fleet.platform.faults.down = true;
@@ -133,7 +135,7 @@
         fleet.platform.faults = {};
         for (const auto& [host, other] : fleet.nodes)
         {
-            other->out_of_reach_since = time_point::max();
+            other->unreachable_since = time_point::max();
         }
         return;
     case fault_kind::none:
@@ -143,7 +145,7 @@
     }
 }
 
-// Ends all faults and starts what is down.
+// Ends all faults and pauses, and starts the nodes that are down.
 inline void end_faults(virtual_fleet& fleet, fleet_cuts& cuts)
 {
     apply_fault(fleet, cuts, {fault_kind::heal, 0, 0});
@@ -158,8 +160,8 @@
     }
 }
 
-// The weight of a shard's data centre share that one node uses now: its own,
-// as its limiter has it, and what is pledged to it.
+// The weight of a workspace's data-centre share that a node uses now: the rate
+// of its own bucket in the limiter, plus the weight leases that it holds.
 inline double weight_in_use(
     const virtual_fleet& fleet, virtual_node& node, workspace_id workspace)
 {
@@ -181,7 +183,8 @@
     return weight;
 }
 
-// The largest sum of weights in use over the data centres.
+// The sum of weights in use in a data centre, at its largest over the data
+// centres.
 inline double
 largest_weight_sum(const virtual_fleet& fleet, workspace_id workspace)
 {
--- a/tests/support/virtual_calls.hpp
+++ b/tests/support/virtual_calls.hpp
@@ -1,5 +1,5 @@
-// Calls through a virtual fleet: from the caller over nodes, gates and
-// upstreams to the deepest service and back.
+// Calls through the hosts of a simulated run: from the caller through nodes,
+// gates and upstreams along the chain of services, and the replies back.
 #pragma once
 
 #include "support/call_fleet.hpp"
@@ -10,6 +10,7 @@
 namespace cyclamenhold
 {
 
+// One-way network delays within a data centre and between data centres.
 constexpr duration local_delay = 250us;
 constexpr duration remote_delay = 1ms;
 
@@ -25,8 +26,8 @@
 
 using call_pointer = std::shared_ptr<virtual_call>;
 
-// A call under one of the two policies that this project is compared with.
-struct plain_call
+// A call under one of the baseline policies.
+struct baseline_call
 {
     std::size_t node = 0;
     std::size_t route = 0;
@@ -34,8 +35,9 @@
     time_point deadline{};
 };
 
-void start_plain_call(
-    call_fleet& fleet, const plain_call& call, std::function<void(bool)> done);
+void start_baseline_call(
+    call_fleet& fleet, const baseline_call& call,
+    std::function<void(bool)> done);
 void run_step(
     call_fleet& fleet, const call_pointer& call, const call_step& step);
 void start_call(
@@ -51,14 +53,14 @@
                : remote_delay;
 }
 
-void take_decisions(
+void apply_gate_decisions(
     call_fleet& fleet, virtual_host& host, const gate_decisions& decisions);
 
-// For the fixed limit: starts what waits, first come first served.
-void start_fixed(call_fleet& fleet, virtual_host& host);
+// Starts queued attempts in order of arrival, up to the fixed limit.
+void start_fixed_limit(call_fleet& fleet, virtual_host& host);
 
-// Ends an attempt at its host; the caller's node learns it after the delay
-// that `done` adds.
+// Ends an attempt at its host. `done` delivers the result to the caller's node
+// after the network delay.
 inline void end_attempt(
     call_fleet& fleet, const attempt_pointer& attempt, attempt_result result,
     gate_result at_gate)
@@ -84,11 +86,11 @@
         result.load->downstream = attempt->record->downstream.read();
     }
     attempt->done(result);
-    take_decisions(fleet, host, decisions);
+    apply_gate_decisions(fleet, host, decisions);
     if (attempt->started && fleet.policy == overload_policy::fixed_limit)
     {
         --host.fixed_running;
-        start_fixed(fleet, host);
+        start_fixed_limit(fleet, host);
     }
 }
 
@@ -115,10 +117,11 @@
     end_attempt(fleet, attempt, result, gate_result::replied);
 }
 
-// The upstream has done its own work and calls the next service, if any.
-inline void call_below(call_fleet& fleet, const attempt_pointer& attempt)
+// Runs when the upstream has done its own work: calls the next service of the
+// chain, or completes the attempt when there is none.
+inline void call_next_service(call_fleet& fleet, const attempt_pointer& attempt)
 {
-    if (attempt->ended || !fleet.hosts[attempt->host]->alive)
+    if (attempt->ended || !fleet.hosts[attempt->host]->is_up)
     {
         return;
     }
@@ -166,7 +169,7 @@
             fleet.clock, from_seconds(to_seconds(mean) * factor),
             [&fleet, attempt]()
             {
-                call_below(fleet, attempt);
+                call_next_service(fleet, attempt);
             });
     }
 }
@@ -179,7 +182,7 @@
     serve_next(fleet, host);
 }
 
-inline void take_decisions(
+inline void apply_gate_decisions(
     call_fleet& fleet, virtual_host& host, const gate_decisions& decisions)
 {
     for (const auto& [entry_id, reason] : decisions)
@@ -206,7 +209,8 @@
     }
 }
 
-// A request's deadline has passed: the upstream is told to stop.
+// Ends an attempt whose deadline has passed. One that has started frees its
+// slot at the upstream.
 inline void expire_attempt(call_fleet& fleet, const attempt_pointer& attempt)
 {
     if (attempt->ended)
@@ -222,7 +226,7 @@
         const auto decisions =
             gate_cancel(host.gate, attempt->entry_id, fleet.clock.now);
         end_attempt(fleet, attempt, result, gate_result::cancelled);
-        take_decisions(fleet, host, decisions);
+        apply_gate_decisions(fleet, host, decisions);
         return;
     }
     release_slot(fleet, attempt);
@@ -233,7 +237,7 @@
 {
     virtual_host& host = *fleet.hosts[attempt->host];
     ++fleet.result.attempts[host.service];
-    if (!host.alive)
+    if (!host.is_up)
     {
         attempt->ended = true;
         attempt_result result;
@@ -251,7 +255,7 @@
     gate_request request;
     request.entry_id = attempt->entry_id;
     request.context = attempt->context;
-    take_decisions(
+    apply_gate_decisions(
         fleet, host,
         gate_offer(host.gate, std::move(request), fleet.clock.now));
 }
@@ -303,7 +307,7 @@
     case call_step_kind::refuse:
         break;
     default:
-        assert(false && "no claims and no waiting for tokens in these runs");
+        assert(false && "these runs have no claims and no token waits");
     }
     const bool ok =
         step.kind == call_step_kind::deliver && call->state.answered;
@@ -320,7 +324,7 @@
     {
         const time_point deadline =
             request.parent ? request.parent->deadline : fleet.clock.now + 2s;
-        start_plain_call(fleet, {node, route, position, deadline}, done);
+        start_baseline_call(fleet, {node, route, position, deadline}, done);
         return;
     }
     const auto call = std::make_shared<virtual_call>();
--- a/tests/support/virtual_clock.hpp
+++ b/tests/support/virtual_clock.hpp
@@ -19,7 +19,7 @@
     std::function<void()> action;
 };
 
-struct later_event
+struct later_virtual_event
 {
     bool operator()(const virtual_event& left, const virtual_event& right) const
     {
@@ -32,7 +32,8 @@
 {
     time_point now{1000s};
     std::uint64_t next_sequence = 0;
-    std::priority_queue<virtual_event, std::vector<virtual_event>, later_event>
+    std::priority_queue<
+        virtual_event, std::vector<virtual_event>, later_virtual_event>
         events;
 };
 
@@ -43,6 +44,7 @@
         {clock.now + delay, clock.next_sequence++, std::move(action)});
 }
 
+// Runs the events up to and including `end`.
 inline void run_until(virtual_clock& clock, time_point end)
 {
     while (!clock.events.empty() && clock.events.top().at <= end)
--- a/tests/support/virtual_fleet.hpp
+++ b/tests/support/virtual_fleet.hpp
@@ -1,6 +1,6 @@
-// Many whole nodes in one process under a virtual clock: a network that loses,
-// delays, duplicates, reorders and partitions, a platform with faults, pauses
-// and restarts, and clocks that drift. The same seed gives the same run.
+// Many complete nodes in one process on a virtual clock, with message loss,
+// delay, duplication, reordering and partitions, platform faults, pauses,
+// restarts and clock drift. Runs with the same seed are identical.
 #pragma once
 
 #include "support/virtual_network.hpp"
@@ -26,12 +26,11 @@
         std::make_shared<const configuration>();
     std::function<bool(const virtual_node&)> platform_reachable;
     // Called after each event of a node.
-    std::function<void(virtual_node&)> after_step;
-    // Called when a node has started, and when a waiter that is not the
-    // fleet's own got its verdict.
+    std::function<void(virtual_node&)> after_event;
     std::function<void(virtual_node&)> on_started;
+    // Called with the result of a waiter that offer() did not create.
     std::function<void(virtual_node&, token_waiter, bool)> on_token;
-    // Called when a claim was answered.
+    // Called for each answer to a claim request.
     std::function<void(virtual_node&, const claim_answer&)> on_claim;
 
     virtual_network network;
@@ -53,42 +52,42 @@
     void start(virtual_node& node)
     {
         node.up = true;
-        ++node.life;
+        ++node.incarnation;
         node.paused_until = now();
-        node.out_of_reach_since = time_point::max();
+        node.unreachable_since = time_point::max();
         node.random.seed(random());
         node.path = std::make_unique<request_path>();
         node.path->self = node.host;
         node.path->limiter.on_waiting = [&node]
         {
-            node.wants_tick = true;
+            node.tick_requested = true;
         };
         node.waiting.clear();
         node.control = std::make_unique<control_state>();
-        control_settings chosen;
-        chosen.membership.self = node.host;
-        chosen.membership.data_centre = node.data_centre;
-        chosen.membership.data_centre_name = node.data_centre_name;
+        control_settings node_settings;
+        node_settings.membership.self = node.host;
+        node_settings.membership.data_centre = node.data_centre;
+        node_settings.membership.data_centre_name = node.data_centre_name;
         for (const auto& [host, other] : nodes)
         {
             if (host != node.host)
             {
-                chosen.membership.seeds.push_back(host);
+                node_settings.membership.seeds.push_back(host);
             }
         }
-        chosen.chain.self = node.host;
-        chosen.chain.data_centre = node.data_centre;
-        chosen.rates = options_.rates;
-        chosen.rates.self = node.host;
-        chosen.rates.data_centre = node.data_centre;
-        chosen.claims = options_.claims;
-        chosen.claims.self = node.host;
-        chosen.claims.data_centre = node.data_centre;
+        node_settings.chain.self = node.host;
+        node_settings.chain.data_centre = node.data_centre;
+        node_settings.rates = options_.rates;
+        node_settings.rates.self = node.host;
+        node_settings.rates.data_centre = node.data_centre;
+        node_settings.claims = options_.claims;
+        node_settings.claims.self = node.host;
+        node_settings.claims.data_centre = node.data_centre;
         control_actions actions;
         control_start(
-            *node.control, chosen, node.path->limiter, wall_ms(node),
+            *node.control, node_settings, node.path->limiter, wall_ms(node),
             local_now(node), node.random, actions);
-        carry_out(node, actions);
+        perform_actions(node, actions);
         if (on_started)
         {
             on_started(node);
@@ -96,7 +95,7 @@
         schedule_tick(node, now());
     }
 
-    // Nothing is kept: the state is gone, messages on their way may arrive.
+    // Discards the node's state. Messages in flight may still be delivered.
     void crash(virtual_node& node)
     {
         node.up = false;
@@ -116,10 +115,10 @@
         node.paused_until = std::max(node.paused_until, now() + time);
     }
 
-    // One request of a workspace arrives at a node.
-    void offer(virtual_node& node, workspace_id workspace, duration patience)
+    // Offers a request to a node, where it waits for a token up to `max_wait`.
+    void offer(virtual_node& node, workspace_id workspace, duration max_wait)
     {
-        if (!node.up || paused(node))
+        if (!node.up || is_paused(node))
         {
             return;
         }
@@ -128,10 +127,10 @@
         const token_waiter waiter = ++last_waiter_;
         const time_point local = local_now(node);
         const auto answer = take_token(
-            node.path->limiter, workspace, waiter, local + patience, local);
+            node.path->limiter, workspace, waiter, local + max_wait, local);
         if (answer.verdict == token_verdict::admitted)
         {
-            note_admission(oracles[workspace], now());
+            record_admission(oracles[workspace], now());
         }
         else if (answer.verdict == token_verdict::refused)
         {
@@ -141,20 +140,20 @@
         {
             node.waiting[waiter] = workspace;
         }
-        if (node.wants_tick)
+        if (node.tick_requested)
         {
             tick(node);
         }
     }
 
-    // Carries out what one of the node's control functions asked for.
+    // Calls `function` on the node's control state and performs its actions.
     template <class Function>
-    void act(virtual_node& node, Function function)
+    void run_on_node(virtual_node& node, Function function)
     {
         control_actions actions;
         function(*node.control, local_now(node), node.random, actions);
-        carry_out(node, actions);
-        finish_step(node);
+        perform_actions(node, actions);
+        finish_event(node);
     }
 
     void run_for(duration time)
@@ -181,7 +180,7 @@
         network.advance_to(until);
     }
 
-    [[nodiscard]] bool paused(const virtual_node& node) const
+    [[nodiscard]] bool is_paused(const virtual_node& node) const
     {
         return node.paused_until > now();
     }
@@ -197,41 +196,41 @@
 private:
     static store_caller caller_of(const virtual_node& node)
     {
-        return (static_cast<std::uint64_t>(node.host) << 12) | node.life;
+        return (static_cast<std::uint64_t>(node.host) << 12) | node.incarnation;
     }
 
     void schedule_tick(virtual_node& node, time_point when)
     {
         network.at(
             when,
-            [this, &node, life = node.life]
+            [this, &node, incarnation = node.incarnation]
             {
-                if (!node.up || node.life != life)
+                if (!node.up || node.incarnation != incarnation)
                 {
                     return;
                 }
-                if (paused(node))
+                if (is_paused(node))
                 {
                     schedule_tick(node, node.paused_until);
                     return;
                 }
                 tick(node);
                 const time_point due = true_time(
-                    node, due_of(*node.control, options_.given_members), now());
+                    node, due_of(*node.control, options_.fixed_members), now());
                 schedule_tick(node, std::max(due, now() + 1ms));
             });
     }
 
     void tick(virtual_node& node)
     {
-        node.wants_tick = false;
+        node.tick_requested = false;
         control_state& control = *node.control;
         control.chain.current = settings;
         const time_point local = local_now(node);
         control_actions actions;
-        if (options_.given_members)
+        if (options_.fixed_members)
         {
-            show_members(nodes, node, options_.detection, now());
+            update_fixed_members(nodes, node, options_.detection_time, now());
             control.wall_clock_ms = wall_ms(node);
             rates_tick(
                 control.rates, inputs_of_rates(control), local, node.random,
@@ -244,21 +243,21 @@
         {
             control_tick(control, wall_ms(node), local, node.random, actions);
         }
-        carry_out(node, actions);
-        finish_step(node);
+        perform_actions(node, actions);
+        finish_event(node);
     }
 
-    void finish_step(virtual_node& node)
+    void finish_event(virtual_node& node)
     {
         const auto results =
             settle_waiters(node.path->limiter, local_now(node));
         for (const token_waiter waiter : results.admitted)
         {
-            settle(node, waiter, true);
+            resolve_waiter(node, waiter, true);
         }
         for (const token_waiter waiter : results.expired)
         {
-            settle(node, waiter, false);
+            resolve_waiter(node, waiter, false);
         }
         std::vector<claim_answer> answers;
         answers.swap(node.control->claims.answers);
@@ -269,13 +268,13 @@
                 on_claim(node, answer);
             }
         }
-        if (after_step)
+        if (after_event)
         {
-            after_step(node);
+            after_event(node);
         }
     }
 
-    void settle(virtual_node& node, token_waiter waiter, bool admitted)
+    void resolve_waiter(virtual_node& node, token_waiter waiter, bool admitted)
     {
         const auto found = node.waiting.find(waiter);
         if (found == node.waiting.end())
@@ -290,7 +289,7 @@
         node.waiting.erase(found);
         if (admitted)
         {
-            note_admission(oracles[workspace], now());
+            record_admission(oracles[workspace], now());
         }
         else
         {
@@ -298,7 +297,7 @@
         }
     }
 
-    void carry_out(virtual_node& node, control_actions& actions)
+    void perform_actions(virtual_node& node, control_actions& actions)
     {
         for (auto& message : actions.messages)
         {
@@ -316,9 +315,9 @@
                 reply.status = platform_status::unavailable;
                 network.at(
                     now() + call.timeout,
-                    [this, &node, life = node.life, reply]
+                    [this, &node, incarnation = node.incarnation, reply]
                     {
-                        reply_to(node, life, reply);
+                        reply_to(node, incarnation, reply);
                     });
                 continue;
             }
@@ -351,8 +350,8 @@
         control_on_message(
             *to.control, {from.host, message.kind, message.payload},
             local_now(to), to.random, actions);
-        carry_out(to, actions);
-        finish_step(to);
+        perform_actions(to, actions);
+        finish_event(to);
     }
 
     void poll_platform()
@@ -363,34 +362,35 @@
             {
                 if (caller_of(*node) == answer.caller)
                 {
-                    reply_to(*node, node->life, answer.reply);
+                    reply_to(*node, node->incarnation, answer.reply);
                 }
             }
         }
     }
 
     void reply_to(
-        virtual_node& node, std::uint64_t life, const platform_reply& reply)
+        virtual_node& node, std::uint64_t incarnation,
+        const platform_reply& reply)
     {
-        if (!node.up || node.life != life)
+        if (!node.up || node.incarnation != incarnation)
         {
             return;
         }
-        if (paused(node))
+        if (is_paused(node))
         {
             network.at(
                 node.paused_until,
-                [this, &node, life, reply]
+                [this, &node, incarnation, reply]
                 {
-                    reply_to(node, life, reply);
+                    reply_to(node, incarnation, reply);
                 });
             return;
         }
         control_actions actions;
         control_on_platform_reply(
             *node.control, reply, local_now(node), node.random, actions);
-        carry_out(node, actions);
-        finish_step(node);
+        perform_actions(node, actions);
+        finish_event(node);
     }
 
     fleet_options options_;
