--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -25,7 +25,7 @@
     return members >= 500 ? 8 : 3;
 }
 
-upstream_record upstream_of(std::size_t place)
+upstream_record make_upstream_record(std::size_t place)
 {
     return {
         "service-" + std::to_string(place % service_count),
@@ -33,7 +33,7 @@
 }
 
 // Makes all nodes know each other, as after a join long ago.
-void introduce_all(fake_fleet& fleet)
+void fill_member_tables(fake_fleet& fleet)
 {
     for (auto& viewer : fleet.nodes)
     {
@@ -54,8 +54,8 @@
                 other.running ? other.membership->self_incarnation : 1, 0,
                 other.settings.data_centre, member_state::alive};
             merge_record(
-                *viewer.membership, report, upstream_of(place), fleet.now,
-                ignored);
+                *viewer.membership, report, make_upstream_record(place),
+                fleet.now, ignored);
         }
         viewer.membership->updates.clear();
     }
@@ -83,9 +83,9 @@
     std::size_t count = 0;
     for (const auto& node : fleet.nodes)
     {
-        for (const auto& happened : node.events)
+        for (const auto& event : node.events)
         {
-            count += happened.kind == kind ? 1 : 0;
+            count += event.kind == kind ? 1 : 0;
         }
     }
     return count;
@@ -116,7 +116,7 @@
 
 double measure_drain(fake_fleet& fleet, std::size_t subject)
 {
-    auto record = upstream_of(subject);
+    auto record = make_upstream_record(subject);
     record.state = upstream_state::draining;
     set_node_upstream(fleet, subject, record);
     const host_id host = fleet.nodes[subject].host;
@@ -217,7 +217,8 @@
             continue;
         }
         start_node(fleet, place);
-        fleet.nodes[place].membership->local_upstream = upstream_of(place);
+        fleet.nodes[place].membership->local_upstream =
+            make_upstream_record(place);
     }
 }
 
@@ -230,7 +231,7 @@
     const auto running = static_cast<double>(
         std::ranges::count(fleet.nodes, true, &fleet_node::running));
     const std::size_t heap_before = heap_in_use();
-    introduce_all(fleet);
+    fill_member_tables(fleet);
     const double heap_growth =
         static_cast<double>(heap_in_use()) - static_cast<double>(heap_before);
     run_for(fleet, warm_up_time);
--- a/bench/rates_bench.cpp
+++ b/bench/rates_bench.cpp
@@ -19,7 +19,7 @@
 
 const workspace_id school = workspace_id_of("school");
 
-virtual_node& node_number(virtual_fleet& fleet, std::size_t number)
+virtual_node& node_at_index(virtual_fleet& fleet, std::size_t number)
 {
     auto entry = fleet.nodes.begin();
     std::advance(entry, number % fleet.nodes.size());
@@ -49,7 +49,7 @@
     while (fleet->now() < end)
     {
         fleet->offer(
-            node_number(*fleet, chosen(number++, fleet->now())), school, 2s);
+            node_at_index(*fleet, chosen(number++, fleet->now())), school, 2s);
         fleet->run_for(from_seconds(1.0 / offered_rate));
     }
     fleet->run_for(1s);
@@ -78,12 +78,12 @@
         to_seconds(std::chrono::steady_clock::now() - begin);
     std::uint64_t messages = 0;
     std::uint64_t bytes = 0;
-    std::uint64_t most_bytes = 0;
+    std::uint64_t max_bytes = 0;
     for (const auto& [host, node] : fleet->nodes)
     {
         messages += node->messages_sent;
         bytes += node->bytes_sent;
-        most_bytes = std::max(most_bytes, node->bytes_sent);
+        max_bytes = std::max(max_bytes, node->bytes_sent);
     }
     const double node_seconds =
         static_cast<double>(fleet->nodes.size()) * to_seconds(measured);
@@ -94,7 +94,7 @@
          static_cast<double>(messages) / node_seconds},
         {"bytes_a_node_second", static_cast<double>(bytes) / node_seconds},
         {"bytes_a_second_of_the_busiest",
-         static_cast<double>(most_bytes) / to_seconds(measured)},
+         static_cast<double>(max_bytes) / to_seconds(measured)},
         {"core_part_a_node_harness_included", host_time / node_seconds}};
 }
 
--- a/tests/adapters/platform_test.cpp
+++ b/tests/adapters/platform_test.cpp
@@ -342,7 +342,7 @@
     ASSERT_TRUE(platform.run_until(
         [&]
         {
-            return !store_of(*platform.server).watches.empty();
+            return !platform_store(*platform.server).watches.empty();
         }));
     platform.send(
         make_call(platform_operation::compare_and_swap, "key/a", "v"));
@@ -400,7 +400,7 @@
         EXPECT_EQ(reply.http_status, 400U);
         EXPECT_NE(reply.body.find("/odd"), std::string::npos);
         EXPECT_NE(reply.body.find("/slow_ms"), std::string::npos);
-        EXPECT_FALSE(store_of(*platform.server).faults.down);
+        EXPECT_FALSE(platform_store(*platform.server).faults.down);
     }
 }
 
--- a/tools/cyclamen-standin-platform/platform_server.cpp
+++ b/tools/cyclamen-standin-platform/platform_server.cpp
@@ -20,7 +20,7 @@
 namespace json = boost::json;
 
 // A call that waits for its answer from the store.
-struct waiting_call
+struct pending_store_call
 {
     // Cancelled when the reply is there.
     asio::steady_timer ready;
@@ -34,7 +34,7 @@
     {
     }
     key_value_store store;
-    std::map<store_caller, waiting_call*> waiting;
+    std::map<store_caller, pending_store_call*> waiting;
     store_caller next_caller = 1;
     asio::steady_timer poll_timer;
 };
@@ -47,7 +47,7 @@
 constexpr auto as_result = asio::as_tuple(asio::use_awaitable);
 
 // Hands out the answers that are due, and comes back for the next ones.
-void poll_store(const server_pointer& server)
+void deliver_due_replies(const server_pointer& server)
 {
     for (auto& [caller, reply] : store_poll(server->store, now()))
     {
@@ -69,7 +69,7 @@
         {
             if (!error)
             {
-                poll_store(server);
+                deliver_due_replies(server);
             }
         });
 }
@@ -79,11 +79,11 @@
 {
     auto executor = co_await asio::this_coro::executor;
     const store_caller caller = server->next_caller++;
-    waiting_call waiting{
+    pending_store_call waiting{
         asio::steady_timer(executor, time_point::max()), std::nullopt};
     server->waiting.emplace(caller, &waiting);
     store_call(server->store, caller, call, now());
-    poll_store(server);
+    deliver_due_replies(server);
     while (!waiting.reply)
     {
         co_await waiting.ready.async_wait(as_result);
@@ -224,7 +224,7 @@
     if (request.method == "PUT" && request.target == "/v1/faults")
     {
         auto reply = change_faults(*server, request.body);
-        poll_store(server);
+        deliver_due_replies(server);
         co_return reply;
     }
     const auto call = platform::store_codec().decode_call(
@@ -258,7 +258,7 @@
         });
 }
 
-key_value_store& store_of(platform_server& server)
+key_value_store& platform_store(platform_server& server)
 {
     return server.store;
 }
--- a/tools/cyclamen-standin-platform/platform_server.hpp
+++ b/tools/cyclamen-standin-platform/platform_server.hpp
@@ -26,6 +26,6 @@
     const boost::asio::ip::tcp::endpoint& endpoint);
 
 // For tests in the same process.
-[[nodiscard]] key_value_store& store_of(platform_server& server);
+[[nodiscard]] key_value_store& platform_store(platform_server& server);
 
 } // namespace cyclamenhold
--- a/tools/cyclamen-standin-upstream/announcer.cpp
+++ b/tools/cyclamen-standin-upstream/announcer.cpp
@@ -22,10 +22,10 @@
 constexpr auto announce_retry = 100ms;
 constexpr auto announce_timeout = 500ms;
 // A drained upstream that got no request for so long gets none any more.
-constexpr auto quiet_time = 300ms;
+constexpr auto drain_idle_time = 300ms;
 constexpr auto stop_poll = 20ms;
 // Samples of the load endpoint reach so far back.
-constexpr auto longest_lag = 60s;
+constexpr auto max_sample_age = 60s;
 
 asio::awaitable<void> pause_for(duration time)
 {
@@ -34,7 +34,7 @@
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-asio::awaitable<bool> tell_node(
+asio::awaitable<bool> post_to_node(
     upstream_state& upstream, const char* target, const json::object& body)
 {
     http_call call;
@@ -43,7 +43,7 @@
     call.headers.push_back({"Content-Type", "application/json"});
     call.body = json::serialize(body);
     call.timeout = announce_timeout;
-    auto& pool = pool_to(upstream, *upstream.settings.node);
+    auto& pool = pool_for(upstream, *upstream.settings.node);
     const http_result result = co_await http_send(pool, std::move(call));
     co_return result.status ==
         http_call_status::answered&& result.http_status < 300;
@@ -58,21 +58,21 @@
     return body;
 }
 
-void take_sample(upstream_state& upstream)
+void record_load_sample(upstream_state& upstream)
 {
     const time_point at = now();
     upstream.samples.push_back(
         {at, in_flight(upstream), upstream.slots.waiters.size()});
-    while (upstream.samples.front().at < at - longest_lag)
+    while (upstream.samples.front().at < at - max_sample_age)
     {
         upstream.samples.pop_front();
     }
 }
 
-bool is_quiet(const upstream_state& upstream)
+bool is_drained(const upstream_state& upstream)
 {
     return in_flight(upstream) == 0 && upstream.slots.waiters.empty() &&
-           now() - upstream.last_request_at >= quiet_time;
+           now() - upstream.last_request_at >= drain_idle_time;
 }
 
 } // namespace
@@ -87,12 +87,12 @@
     body["warm_up_ms"] = to_milliseconds(settings.warm_up);
     while (!upstream->stopping)
     {
-        take_sample(*upstream);
+        record_load_sample(*upstream);
         bool announced = true;
         if (settings.node)
         {
             announced =
-                co_await tell_node(*upstream, "/v1/upstream/announce", body);
+                co_await post_to_node(*upstream, "/v1/upstream/announce", body);
         }
         co_await pause_for(
             announced ? duration(announce_interval) : duration(announce_retry));
@@ -107,16 +107,16 @@
     const json::object body = identity(*upstream, listening);
     if (upstream->settings.node)
     {
-        co_await tell_node(*upstream, "/v1/upstream/drain", body);
+        co_await post_to_node(*upstream, "/v1/upstream/drain", body);
     }
     upstream->last_request_at = now();
-    while (!is_quiet(*upstream) && now() < deadline)
+    while (!is_drained(*upstream) && now() < deadline)
     {
         co_await pause_for(stop_poll);
     }
     if (upstream->settings.node)
     {
-        co_await tell_node(*upstream, "/v1/upstream/leave", body);
+        co_await post_to_node(*upstream, "/v1/upstream/leave", body);
     }
     upstream->context.stop();
 }
--- a/tools/cyclamen-standin-upstream/child_calls.cpp
+++ b/tools/cyclamen-standin-upstream/child_calls.cpp
@@ -16,7 +16,7 @@
 constexpr unsigned status_bad_gateway = 502;
 
 std::vector<std::string>
-calls_of(const upstream_state& upstream, const received_request& request)
+child_paths_of(const upstream_state& upstream, const received_request& request)
 {
     const std::string wanted = query_value(request.query, "calls");
     return wanted.empty() ? upstream.settings.calls : split(wanted, ',');
@@ -90,7 +90,7 @@
             break;
         }
         auto& pool =
-            pool_to(upstream, endpoint ? *endpoint : *upstream.settings.node);
+            pool_for(upstream, endpoint ? *endpoint : *upstream.settings.node);
         ++upstream.counts.child_calls;
         auto call = make_call(request, path, remaining);
         result = co_await http_send(pool, std::move(call));
@@ -131,7 +131,7 @@
     upstream_state& upstream, const received_request& request,
     time_point deadline)
 {
-    for (const std::string& path : calls_of(upstream, request))
+    for (const std::string& path : child_paths_of(upstream, request))
     {
         const http_result result =
             co_await make_one_call(upstream, request, path, deadline);
--- a/tools/cyclamen-standin-upstream/command_line.cpp
+++ b/tools/cyclamen-standin-upstream/command_line.cpp
@@ -66,7 +66,7 @@
 }
 
 template <class Enum>
-Enum read_name(
+Enum read_enum(
     const cxxopts::ParseResult& arguments, const std::string& name,
     findings& found)
 {
@@ -142,7 +142,7 @@
     settings.service_time =
         from_seconds(read_real(arguments, "service-time-ms", found) / 1000.0);
     settings.distribution =
-        read_name<time_distribution>(arguments, "distribution", found);
+        read_enum<time_distribution>(arguments, "distribution", found);
     settings.sigma = read_real(arguments, "sigma", found);
     settings.cold_factor = read_real(arguments, "cold-factor", found);
     settings.warm_up = read_time(arguments, "warm-up-ms", found);
@@ -156,7 +156,7 @@
     settings.child_retries = static_cast<std::uint32_t>(
         read_number(arguments, "child-retries", 0, found));
     settings.child_timeout = read_time(arguments, "child-timeout-ms", found);
-    settings.crash = read_name<crash_kind>(arguments, "crash", found);
+    settings.crash = read_enum<crash_kind>(arguments, "crash", found);
     settings.refuse_time = read_time(arguments, "refuse-ms", found);
     settings.stop_time = read_time(arguments, "stop-ms", found);
 }
--- a/tools/cyclamen-standin-upstream/control_port.cpp
+++ b/tools/cyclamen-standin-upstream/control_port.cpp
@@ -174,7 +174,7 @@
 }
 
 asio::awaitable<json_reply>
-serve_later(upstream_pointer upstream, json_request request)
+serve_async(upstream_pointer upstream, json_request request)
 {
     co_return serve(*upstream, request);
 }
@@ -188,7 +188,7 @@
         upstream->context.get_executor(), upstream->settings.control,
         [upstream](json_request request)
         {
-            return serve_later(upstream, std::move(request));
+            return serve_async(upstream, std::move(request));
         });
 }
 
--- a/tools/cyclamen-standin-upstream/upstream_server.cpp
+++ b/tools/cyclamen-standin-upstream/upstream_server.cpp
@@ -63,7 +63,7 @@
 }
 
 received_request
-take_head(upstream_state& upstream, const request_parser& parser)
+parse_request_head(upstream_state& upstream, const request_parser& parser)
 {
     const auto& message = parser.get();
     received_request request;
@@ -82,7 +82,7 @@
     }
     std::ostringstream head;
     head << message.base();
-    keep_received(upstream, head.str());
+    append_received(upstream, head.str());
     return request;
 }
 
@@ -108,7 +108,8 @@
         const std::size_t got = chunk.size() - parser.get().body().size;
         XXH3_64bits_update(hash.get(), chunk.data(), got);
         request.body_bytes += got;
-        const std::size_t room = kept_body_size - request.body_start.size();
+        const std::size_t room =
+            max_echoed_body_bytes - request.body_start.size();
         request.body_start.append(chunk.data(), std::min(got, room));
     }
     request.body_hash = XXH3_64bits_digest(hash.get());
@@ -242,7 +243,7 @@
     {
         co_await stay_silent();
     }
-    received_request request = take_head(*upstream, parser);
+    received_request request = parse_request_head(*upstream, parser);
     if (const auto body_error = co_await read_body(connection, parser, request))
     {
         co_return false;
@@ -293,7 +294,7 @@
     connection.stream.socket().shutdown(tcp::socket::shutdown_both, ignored);
 }
 
-bool takes_connection(const upstream_state& upstream)
+bool is_accepting_connections(const upstream_state& upstream)
 {
     return upstream.open_connections.size() < upstream.settings.connections &&
            now() >= upstream.faults.refuse_until;
@@ -312,7 +313,7 @@
             co_await pause.async_wait(as_result);
             continue;
         }
-        if (!takes_connection(*upstream))
+        if (!is_accepting_connections(*upstream))
         {
             ++upstream->counts.refused_connections;
             continue;
--- a/tools/cyclamen-standin-upstream/upstream_settings.hpp
+++ b/tools/cyclamen-standin-upstream/upstream_settings.hpp
@@ -89,8 +89,8 @@
     // The longest a graceful stop may take.
     duration stop_time = 5s;
     // Entries kept in the log of what ran, and bytes of received headers.
-    std::size_t ran_entries = 100'000;
-    std::size_t received_bytes = 1'000'000;
+    std::size_t max_logged_requests = 100'000;
+    std::size_t max_received_bytes = 1'000'000;
 };
 
 // Parses "/payments=127.0.0.1:1,127.0.0.1:2;/stock=127.0.0.1:3".
--- a/tools/cyclamen-standin-upstream/upstream_state.cpp
+++ b/tools/cyclamen-standin-upstream/upstream_state.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr std::size_t most_child_connections = 256;
+constexpr std::size_t max_child_connections = 256;
 
 double draw_factor(upstream_state& upstream)
 {
@@ -69,22 +69,22 @@
     return from_seconds(to_seconds(upstream.settings.service_time) * factor);
 }
 
-http_pool& pool_to(
+http_pool& pool_for(
     upstream_state& upstream, const boost::asio::ip::tcp::endpoint& endpoint)
 {
     auto& pool = upstream.pools[endpoint];
     if (!pool)
     {
         pool = std::make_unique<http_pool>(
-            upstream.context.get_executor(), endpoint, most_child_connections);
+            upstream.context.get_executor(), endpoint, max_child_connections);
     }
     return *pool;
 }
 
-void keep_received(upstream_state& upstream, std::string_view bytes)
+void append_received(upstream_state& upstream, std::string_view bytes)
 {
     upstream.received.append(bytes);
-    const std::size_t limit = upstream.settings.received_bytes;
+    const std::size_t limit = upstream.settings.max_received_bytes;
     // Dropped by halves, so that appending stays cheap.
     if (upstream.received.size() > 2 * limit)
     {
@@ -92,17 +92,17 @@
     }
 }
 
-std::shared_ptr<ran_request> begin_ran(
+std::shared_ptr<logged_request> log_request_start(
     upstream_state& upstream, std::string marker, std::string path,
     std::uint64_t bytes)
 {
-    auto entry = std::make_shared<ran_request>();
+    auto entry = std::make_shared<logged_request>();
     entry->marker = std::move(marker);
     entry->path = std::move(path);
     entry->bytes = bytes;
     entry->started_ms = wall_clock_ms();
     upstream.ran.push_back(entry);
-    if (upstream.ran.size() > upstream.settings.ran_entries)
+    if (upstream.ran.size() > upstream.settings.max_logged_requests)
     {
         upstream.ran.pop_front();
     }
@@ -110,7 +110,8 @@
     return entry;
 }
 
-void end_ran(upstream_state& upstream, ran_request& entry, bool aborted)
+void log_request_end(
+    upstream_state& upstream, logged_request& entry, bool aborted)
 {
     entry.finished_ms = wall_clock_ms();
     entry.aborted = aborted;
--- a/tools/cyclamen-standin-upstream/upstream_state.hpp
+++ b/tools/cyclamen-standin-upstream/upstream_state.hpp
@@ -37,7 +37,7 @@
 };
 
 // One request that took a slot.
-struct ran_request
+struct logged_request
 {
     std::string marker;
     std::string path;
@@ -92,7 +92,7 @@
     bool stopping = false;
     std::deque<load_sample> samples;
     // The newest entries; those of running requests are shared with them.
-    std::deque<std::shared_ptr<ran_request>> ran;
+    std::deque<std::shared_ptr<logged_request>> ran;
     // Raw header bytes as they came, the oldest dropped.
     std::string received;
     // One pool for the node, or one for each direct endpoint.
@@ -105,16 +105,17 @@
 [[nodiscard]] duration
 draw_service_time(upstream_state& upstream, time_point now);
 
-[[nodiscard]] http_pool& pool_to(
+[[nodiscard]] http_pool& pool_for(
     upstream_state& upstream, const boost::asio::ip::tcp::endpoint& endpoint);
 
 // Keeps header bytes, dropping the oldest above the bound.
-void keep_received(upstream_state& upstream, std::string_view bytes);
+void append_received(upstream_state& upstream, std::string_view bytes);
 
 // Adds an entry for a request that begins to run.
-[[nodiscard]] std::shared_ptr<ran_request> begin_ran(
+[[nodiscard]] std::shared_ptr<logged_request> log_request_start(
     upstream_state& upstream, std::string marker, std::string path,
     std::uint64_t bytes);
-void end_ran(upstream_state& upstream, ran_request& entry, bool aborted);
+void log_request_end(
+    upstream_state& upstream, logged_request& entry, bool aborted);
 
 } // namespace cyclamenhold
--- a/tools/cyclamen-standin-upstream/work.cpp
+++ b/tools/cyclamen-standin-upstream/work.cpp
@@ -116,31 +116,32 @@
 }
 
 // Marks a request that is destroyed while it runs as aborted.
-class ran_entry
+class scoped_request_log
 {
 public:
-    ran_entry(upstream_state& upstream, std::shared_ptr<ran_request> entry)
+    scoped_request_log(
+        upstream_state& upstream, std::shared_ptr<logged_request> entry)
         : upstream_(&upstream), entry_(std::move(entry))
     {
     }
-    ~ran_entry()
+    ~scoped_request_log()
     {
         if (!ended_)
         {
-            end_ran(*upstream_, *entry_, true);
+            log_request_end(*upstream_, *entry_, true);
         }
     }
-    ran_entry(const ran_entry&) = delete;
-    ran_entry& operator=(const ran_entry&) = delete;
+    scoped_request_log(const scoped_request_log&) = delete;
+    scoped_request_log& operator=(const scoped_request_log&) = delete;
     void finish()
     {
         ended_ = true;
-        end_ran(*upstream_, *entry_, false);
+        log_request_end(*upstream_, *entry_, false);
     }
 
 private:
     upstream_state* upstream_;
-    std::shared_ptr<ran_request> entry_;
+    std::shared_ptr<logged_request> entry_;
     bool ended_ = false;
 };
 
@@ -154,10 +155,10 @@
     const auto wanted = parse_size(query_value(request.query, "reply_bytes"));
     if (wanted)
     {
-        plan.pattern_bytes = std::min(*wanted, largest_reply);
+        plan.pattern_bytes = std::min(*wanted, max_reply_bytes);
         return plan;
     }
-    if (request.body_bytes <= kept_body_size)
+    if (request.body_bytes <= max_echoed_body_bytes)
     {
         plan.body = request.body_start;
     }
@@ -181,9 +182,9 @@
     upstream_state& upstream, const received_request& request,
     time_point deadline)
 {
-    ran_entry entry(
+    scoped_request_log entry(
         upstream,
-        begin_ran(
+        log_request_start(
             upstream, marker_of(request), request.path, request.body_bytes));
     if (is_poisoned(request))
     {
--- a/tools/cyclamen-standin-upstream/work.hpp
+++ b/tools/cyclamen-standin-upstream/work.hpp
@@ -29,8 +29,8 @@
 };
 
 // Bodies up to this size are kept whole and echoed.
-constexpr std::size_t kept_body_size = 64 * 1024;
-constexpr std::uint64_t largest_reply = 64ULL * 1024 * 1024;
+constexpr std::size_t max_echoed_body_bytes = 64 * 1024;
+constexpr std::uint64_t max_reply_bytes = 64ULL * 1024 * 1024;
 // A request whose body holds this, or whose headers have X-Poison, crashes the
 // upstream that runs it.
 constexpr std::string_view poison_marker = "cyclamen-poison";
