--- a/bench/capacity_bench.cpp
+++ b/bench/capacity_bench.cpp
@@ -1,5 +1,5 @@
-// Slopes for docs/CAPACITY.md: what state and work cost as their number grows,
-// each over several sizes. Prints one JSON object.
+// Computes the slopes in docs/CAPACITY.md: growth of memory and time with the
+// number of elements, each from several sizes. Prints one JSON object.
 #include "core/events/time_line.hpp"
 #include "core/request/request_tables.hpp"
 
@@ -35,7 +35,8 @@
     return mallinfo2().uordblks + mallinfo2().hblkhd;
 }
 
-// The best time of several runs, and the heap that the last result holds.
+// Returns the shortest time of several runs, and the heap bytes held by the
+// last result.
 template <class Work>
 sample measure(std::size_t size, Work work)
 {
@@ -46,18 +47,19 @@
         const std::size_t heap_before = heap_bytes();
         const auto start = std::chrono::steady_clock::now();
         const auto result = work();
-        const std::chrono::duration<double, std::micro> spent =
+        const std::chrono::duration<double, std::micro> elapsed =
             std::chrono::steady_clock::now() - start;
         best.bytes = static_cast<double>(heap_bytes() - heap_before);
         best.microseconds = run == 0
-                                ? spent.count()
-                                : std::min(best.microseconds, spent.count());
+                                ? elapsed.count()
+                                : std::min(best.microseconds, elapsed.count());
         static_cast<void>(result);
     }
     return best;
 }
 
-// Least squares through all samples: growth for each further element.
+// The slope of the least-squares line through the samples: the growth for each
+// additional element.
 template <class Value>
 double slope_of(const std::vector<sample>& samples, Value value)
 {
@@ -159,8 +161,8 @@
 
 configuration configuration_of(std::size_t routes)
 {
-    configuration made;
-    made.revision = 1;
+    configuration generated;
+    generated.revision = 1;
     for (std::size_t index = 0; index < routes; ++index)
     {
         const std::string name = "service-" + std::to_string(index);
@@ -168,10 +170,11 @@
         entry.name = name;
         entry.path_prefix = '/' + name;
         entry.service = name;
-        made.routes.push_back(entry);
-        made.keys.push_back({"k" + std::to_string(index), "school", {}, false});
+        generated.routes.push_back(entry);
+        generated.keys.push_back(
+            {"k" + std::to_string(index), "school", {}, false});
     }
-    return made;
+    return generated;
 }
 
 json::object measure_tables()
--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -1,7 +1,7 @@
-// What membership and configuration cost a node, and how fast they are, under
-// a virtual clock. Prints one line of JSON for each number of members given on
-// the command line. "8300/2" runs the members of two data centres; the others
-// are in the tables of these, and silent.
+// Benchmarks the cost of membership and configuration for a node, and their
+// propagation times, under a virtual clock. Prints one line of JSON for each
+// number of members on the command line. "8300/2" runs only the members of two
+// data centres; the others are in their member tables and send nothing.
 #include "core/membership/member_table.hpp"
 #include "support/fake_fleet.hpp"
 
@@ -25,14 +25,15 @@
     return members >= 500 ? 8 : 3;
 }
 
-upstream_record make_upstream_record(std::size_t place)
+upstream_record make_upstream_record(std::size_t index)
 {
     return {
-        "service-" + std::to_string(place % service_count),
+        "service-" + std::to_string(index % service_count),
         upstream_state::serving, 150, 1000, 1};
 }
 
-// Makes all nodes know each other, as after a join long ago.
+// Adds every node to the member table of every running node, which gives the
+// state after all joins have completed.
 void fill_member_tables(fake_fleet& fleet)
 {
     for (auto& viewer : fleet.nodes)
@@ -42,9 +43,9 @@
             continue;
         }
         control_actions ignored;
-        for (std::size_t place = 0; place < fleet.nodes.size(); ++place)
+        for (std::size_t index = 0; index < fleet.nodes.size(); ++index)
         {
-            const fleet_node& other = fleet.nodes[place];
+            const fleet_node& other = fleet.nodes[index];
             if (other.host == viewer.host)
             {
                 continue;
@@ -54,7 +55,7 @@
                 other.running ? other.membership->self_incarnation : 1, 0,
                 other.settings.data_centre, member_state::alive};
             merge_record(
-                *viewer.membership, report, make_upstream_record(place),
+                *viewer.membership, report, make_upstream_record(index),
                 fleet.now, ignored);
         }
         viewer.membership->updates.clear();
@@ -91,19 +92,19 @@
     return count;
 }
 
-// Seconds until all running nodes but `subject` fulfil the condition; negative
-// when they do not within the limit.
+// Returns the seconds until all running nodes except `subject` fulfil the
+// condition, or -1 when they do not within `limit`.
 double time_until_all(
     fake_fleet& fleet, std::size_t subject, duration limit,
     const std::function<bool(const fleet_node&)>& condition)
 {
-    const time_point begin = fleet.now;
+    const time_point start = fleet.now;
     const auto fulfilled = [&]
     {
-        for (std::size_t place = 0; place < fleet.nodes.size(); ++place)
+        for (std::size_t index = 0; index < fleet.nodes.size(); ++index)
         {
-            const fleet_node& node = fleet.nodes[place];
-            if (place != subject && node.running && !condition(node))
+            const fleet_node& node = fleet.nodes[index];
+            if (index != subject && node.running && !condition(node))
             {
                 return false;
             }
@@ -111,7 +112,7 @@
         return true;
     };
     const bool reached = run_until_true(fleet, limit, fulfilled);
-    return reached ? to_seconds(fleet.now - begin) : -1.0;
+    return reached ? to_seconds(fleet.now - start) : -1.0;
 }
 
 double measure_drain(fake_fleet& fleet, std::size_t subject)
@@ -163,8 +164,8 @@
         });
 }
 
-// The most calls in one second while the platform comes back after ten
-// minutes, over half a minute.
+// The maximum of platform calls in one second during the 30 s after an outage
+// of ten minutes.
 double measure_calls_after_outage(fake_fleet& fleet)
 {
     fleet.platform.faults.down = true;
@@ -200,25 +201,25 @@
 struct bench_size
 {
     std::size_t members = 0;
-    // Of whose data centres so many run; zero for all.
+    // Only the members of this many data centres run; zero for all.
     std::size_t running_data_centres = 0;
 };
 
 void start_fleet(fake_fleet& fleet, const bench_size& size)
 {
     const std::size_t data_centres = data_centre_count_of(size.members);
-    for (std::size_t place = 0; place < size.members; ++place)
+    for (std::size_t index = 0; index < size.members; ++index)
     {
-        const std::size_t data_centre = place % data_centres;
+        const std::size_t data_centre = index % data_centres;
         add_node(fleet, "dc-" + std::to_string(data_centre));
         if (size.running_data_centres != 0 &&
             data_centre >= size.running_data_centres)
         {
             continue;
         }
-        start_node(fleet, place);
-        fleet.nodes[place].membership->local_upstream =
-            make_upstream_record(place);
+        start_node(fleet, index);
+        fleet.nodes[index].membership->local_upstream =
+            make_upstream_record(index);
     }
 }
 
@@ -260,7 +261,8 @@
         static_cast<double>(after.messages - before.messages) / node_seconds;
     result["platform_calls_a_second"] = calls / to_seconds(steady_time);
     result["platform_writes_a_second"] = writes / to_seconds(steady_time);
-    // Each suspicion is heard by all.
+    // Every running node receives each suspicion, so that the count of events
+    // is divided by the number of nodes.
     const double node_hours =
         running * to_seconds(warm_up_time + steady_time) / 3600.0;
     result["suspicions_a_node_hour"] =
@@ -271,7 +273,7 @@
     result["change_in_force_by_all_seconds"] = measure_change(fleet, 8);
     result["dead_host_known_by_all_seconds"] = measure_detection(fleet, 9);
     result["largest_datagram"] = fleet.largest_datagram;
-    // Long, so only where the whole fleet runs and is not too large.
+    // Skipped for large fleets, since it simulates more than ten minutes.
     if (members <= 200)
     {
         result["most_platform_calls_in_a_second_after_outage"] =
--- a/bench/overload_bench.cpp
+++ b/bench/overload_bench.cpp
@@ -1,7 +1,8 @@
-// Runs the overload scenarios on both deployments under a virtual clock, this
-// project's policy beside a plain pass-through and a fixed concurrency limit.
-// Prints a table, and with --json one JSON line a run; --seconds sets how long
-// the trouble lasts, --only picks scenarios by a part of their name.
+// Runs the overload scenarios on both deployments under a virtual clock and
+// compares this project's policy with a plain pass-through and with a fixed
+// concurrency limit. Prints a table, or with --json one JSON line for each run.
+// --seconds sets the duration of the overload trigger, --only selects scenarios
+// by a part of their names.
 #include "support/virtual_report.hpp"
 #include "support/virtual_run.hpp"
 #include "support/virtual_scenarios.hpp"
@@ -56,16 +57,16 @@
 {
     cxxopts::Options options(
         "overload_bench", "Overload under a virtual clock");
-    options.add_options()("json", "print JSON lines")(
-        "seconds", "length of the trouble",
+    options.add_options()("json", "print one JSON line for each run")(
+        "seconds", "duration of the overload trigger in seconds",
         cxxopts::value<int>()->default_value("30"))(
-        "only", "part of a scenario's name",
+        "only", "run only scenarios with this text in their names",
         cxxopts::value<std::string>()->default_value(""))(
-        "policy", "only this policy",
+        "policy", "run only this policy",
         cxxopts::value<std::string>()->default_value(""))(
         "seed", "seed", cxxopts::value<std::uint64_t>()->default_value("1"));
-    const auto chosen = options.parse(argc, argv);
-    const bool json = chosen.count("json") > 0;
+    const auto arguments = options.parse(argc, argv);
+    const bool json = arguments.count("json") > 0;
     if (!json)
     {
         std::printf(
@@ -77,20 +78,20 @@
     {
         for (auto scenario : all_scenarios())
         {
-            if (scenario.name.find(chosen["only"].as<std::string>()) ==
+            if (scenario.name.find(arguments["only"].as<std::string>()) ==
                 std::string::npos)
             {
                 continue;
             }
-            scenario.seed = chosen["seed"].as<std::uint64_t>();
+            scenario.seed = arguments["seed"].as<std::uint64_t>();
             scenario.trigger_end =
                 scenario.trigger_start +
-                std::chrono::seconds(chosen["seconds"].as<int>());
+                std::chrono::seconds(arguments["seconds"].as<int>());
             scenario.length = scenario.trigger_end + 10s;
             for (const auto& [policy, name] :
                  enum_names<overload_policy>::table)
             {
-                if (const auto only = chosen["policy"].as<std::string>();
+                if (const auto only = arguments["policy"].as<std::string>();
                     !only.empty() && only != name)
                 {
                     continue;
--- a/bench/rates_bench.cpp
+++ b/bench/rates_bench.cpp
@@ -1,6 +1,6 @@
-// Measures rates and claims over the virtual fleet and prints JSON: refusals
-// inside the rate under skewed demand, overshoot, and control traffic and
-// processor time a node by the size of the fleet.
+// Benchmarks rates and claims on a virtual fleet and prints JSON: refusals of
+// requests within the rate under skewed demand, overshoot, and the control
+// traffic and processor time of a node by fleet size.
 #include "support/virtual_fleet.hpp"
 
 #include <boost/json.hpp>
@@ -39,8 +39,8 @@
     return fleet;
 }
 
-template <class Chooser>
-json::object measure_demand(double offered_rate, Chooser chosen)
+template <class Selector>
+json::object measure_demand(double offered_rate, Selector select_node)
 {
     const auto fleet = start_fleet({}, 120.0, 24.0);
     rate_oracle& oracle = fleet->oracles[school];
@@ -49,7 +49,8 @@
     while (fleet->now() < end)
     {
         fleet->offer(
-            node_at_index(*fleet, chosen(number++, fleet->now())), school, 2s);
+            node_at_index(*fleet, select_node(number++, fleet->now())), school,
+            2s);
         fleet->run_for(from_seconds(1.0 / offered_rate));
     }
     fleet->run_for(1s);
@@ -63,7 +64,7 @@
 
 json::object measure_size(std::uint32_t hosts_per_data_centre)
 {
-    constexpr duration measured = 10s;
+    constexpr duration measured_time = 10s;
     fleet_options options;
     options.hosts_per_data_centre = hosts_per_data_centre;
     const auto fleet = start_fleet(options, 1000.0, 200.0);
@@ -72,10 +73,10 @@
         node->messages_sent = 0;
         node->bytes_sent = 0;
     }
-    const auto begin = std::chrono::steady_clock::now();
-    fleet->run_for(measured);
+    const auto start_time = std::chrono::steady_clock::now();
+    fleet->run_for(measured_time);
     const double host_time =
-        to_seconds(std::chrono::steady_clock::now() - begin);
+        to_seconds(std::chrono::steady_clock::now() - start_time);
     std::uint64_t messages = 0;
     std::uint64_t bytes = 0;
     std::uint64_t max_bytes = 0;
@@ -86,7 +87,7 @@
         max_bytes = std::max(max_bytes, node->bytes_sent);
     }
     const double node_seconds =
-        static_cast<double>(fleet->nodes.size()) * to_seconds(measured);
+        static_cast<double>(fleet->nodes.size()) * to_seconds(measured_time);
     return {
         {"hosts", fleet->nodes.size()},
         {"hosts_each_data_centre", hosts_per_data_centre},
@@ -94,7 +95,7 @@
          static_cast<double>(messages) / node_seconds},
         {"bytes_a_node_second", static_cast<double>(bytes) / node_seconds},
         {"bytes_a_second_of_the_busiest",
-         static_cast<double>(max_bytes) / to_seconds(measured)},
+         static_cast<double>(max_bytes) / to_seconds(measured_time)},
         {"core_part_a_node_harness_included", host_time / node_seconds}};
 }
 
@@ -142,7 +143,8 @@
 } // namespace
 } // namespace cyclamenhold
 
-// The argument is the largest number of hosts in each of three data centres.
+// The argument is the maximum number of hosts in each of three data centres;
+// larger sizes are skipped.
 int main(int argument_count, char** arguments)
 {
     const int largest = argument_count > 1 ? std::atoi(arguments[1]) : 36;
--- a/fuzz/event_page_fuzz.cpp
+++ b/fuzz/event_page_fuzz.cpp
@@ -1,5 +1,5 @@
-// What a node answers to cyclamen-trace is read or refused with findings; what
-// was read is written and read back alike.
+// A reply of a node to cyclamen-trace is either parsed or rejected with
+// findings. A parsed page is the same after it is written and parsed again.
 #include "core/events/event_json.hpp"
 
 #include <cstddef>
--- a/fuzz/frame_fuzz.cpp
+++ b/fuzz/frame_fuzz.cpp
@@ -1,5 +1,5 @@
-// Any bytes are decoded as a frame or refused; every part of a decoded one can
-// be read.
+// Arbitrary bytes are either decoded as a frame or rejected. Every part of a
+// decoded frame can be read without a fault.
 #include "wire/frame_codec.hpp"
 
 #include <cstddef>
--- a/fuzz/intent_fuzz.cpp
+++ b/fuzz/intent_fuzz.cpp
@@ -1,5 +1,6 @@
-// Any text is read as operations or refused with findings; what was read is
-// written and read back alike, and applies or is refused.
+// Arbitrary text is either parsed as operations or rejected with findings.
+// Parsed operations are the same after they are written and parsed again. They
+// are either applied, or rejected without a change of the configuration.
 #include "core/intent/operations.hpp"
 
 #include <cstddef>
--- a/fuzz/settings_fuzz.cpp
+++ b/fuzz/settings_fuzz.cpp
@@ -1,4 +1,4 @@
-// Any text is read as settings or refused with findings.
+// Arbitrary text is either parsed as settings or rejected with findings.
 #include "adapters/settings.hpp"
 
 #include <cstddef>
@@ -12,7 +12,7 @@
     using namespace cyclamenhold;
     const std::string_view text(reinterpret_cast<const char*>(data), size);
     const auto [settings, found] = parse_settings(text);
-    // What was accepted names a host and both secrets.
+    // Accepted settings have a host name, a platform port and the fleet secret.
     const bool complete =
         !settings.name.empty() && settings.platform.port != 0 &&
         (!settings.fleet_secret.empty() || !settings.fleet_secret_file.empty());
--- a/tests/adapters/standin_upstream_test.cpp
+++ b/tests/adapters/standin_upstream_test.cpp
@@ -40,7 +40,7 @@
     return settings;
 }
 
-// Upstreams and their callers on one context, driven by the test's thread.
+// An upstream and its callers on one context, which the test thread runs.
 struct upstream_fixture
 {
     explicit upstream_fixture(const upstream_settings& settings)
@@ -62,29 +62,30 @@
         return done();
     }
 
-    // Starts a call; the result appears in the returned place.
+    // Starts a call. The returned pointer holds the result once it has
+    // completed.
     std::shared_ptr<std::optional<http_result>>
     start(http_pool& to, http_call call)
     {
-        auto place = std::make_shared<std::optional<http_result>>();
+        auto pending = std::make_shared<std::optional<http_result>>();
         asio::co_spawn(
             context, http_send(to, std::move(call)),
-            [place](const std::exception_ptr&, http_result result)
+            [pending](const std::exception_ptr&, http_result result)
             {
-                *place = std::move(result);
+                *pending = std::move(result);
             });
-        return place;
+        return pending;
     }
 
     http_result send(http_pool& to, http_call call)
     {
-        const auto place = start(to, std::move(call));
+        const auto pending = start(to, std::move(call));
         EXPECT_TRUE(run_until(
             [&]
             {
-                return place->has_value();
+                return pending->has_value();
             }));
-        return place->value_or(http_result{});
+        return pending->value_or(http_result{});
     }
 
     http_result get(const std::string& target)
@@ -124,7 +125,7 @@
 {
     upstream_fixture fixture(quick_settings());
     {
-        SCOPED_TRACE("a small body comes back with its checksum");
+        SCOPED_TRACE("a small body is echoed with its checksum");
         const auto result = fixture.post("/stock/check?marker=m1", "hello");
         EXPECT_EQ(result.http_status, 200U);
         EXPECT_EQ(result.body, "hello");
@@ -133,7 +134,7 @@
             checksum_text(XXH3_64bits("hello", 5)));
     }
     {
-        SCOPED_TRACE("large bodies both ways");
+        SCOPED_TRACE("large request and reply bodies are streamed");
         constexpr std::size_t size = 8 * 1024 * 1024 + 17;
         const std::string body(size, 'q');
         const auto result = fixture.post(
@@ -148,7 +149,7 @@
             checksum_text(XXH3_64bits(body.data(), body.size())));
     }
     {
-        SCOPED_TRACE("the control port tells what ran and what came");
+        SCOPED_TRACE("the control port returns the request and header logs");
         http_call call;
         call.target = "/v1/ran";
         const auto ran =
@@ -164,7 +165,8 @@
     }
 }
 
-TEST(standin_upstream, slots_queue_and_shedding)
+// With one slot and one queue entry, the third concurrent request is shed.
+TEST(standin_upstream, sheds_above_slots_and_queue)
 {
     auto settings = quick_settings();
     settings.slots = 1;
@@ -183,29 +185,31 @@
         {
             return std::ranges::all_of(
                 calls,
-                [](const auto& place)
+                [](const auto& pending)
                 {
-                    return place->has_value();
+                    return pending->has_value();
                 });
         }));
     const auto shed = std::ranges::count_if(
         calls,
-        [](const auto& place)
+        [](const auto& pending)
         {
-            return (*place)->http_status == 503;
+            return (*pending)->http_status == 503;
         });
     EXPECT_EQ(shed, 1);
     EXPECT_EQ(fixture.upstream->counts.started, 2U);
     EXPECT_EQ(fixture.upstream->counts.shed, 1U);
 }
 
-TEST(standin_upstream, a_caller_that_hangs_up_or_runs_out_of_time)
+// A request that keeps running after its caller has disconnected, or after its
+// deadline, would occupy a slot.
+TEST(standin_upstream, aborts_on_disconnect_and_deadline)
 {
     auto settings = quick_settings();
     settings.service_time = 10s;
     upstream_fixture fixture(settings);
     {
-        SCOPED_TRACE("hanging up stops the work");
+        SCOPED_TRACE("a closed connection aborts the request");
         http_call call;
         call.timeout = 50ms;
         const auto result = fixture.send(fixture.pool, call);
@@ -219,7 +223,7 @@
         EXPECT_TRUE(fixture.upstream->ran.front()->aborted);
     }
     {
-        SCOPED_TRACE("the deadline stops the work");
+        SCOPED_TRACE("a passed deadline aborts the request");
         http_call call;
         call.headers.push_back({"Cyclamen-Deadline-Ms", "30"});
         EXPECT_EQ(fixture.send(fixture.pool, call).http_status, 504U);
@@ -227,12 +231,12 @@
     }
 }
 
-TEST(standin_upstream, faults)
+TEST(standin_upstream, applies_faults_from_the_control_port)
 {
     upstream_fixture fixture(quick_settings());
     EXPECT_EQ(fixture.get("/a").http_status, 200U);
     {
-        SCOPED_TRACE("open connections go silent, new ones work");
+        SCOPED_TRACE("open connections become silent, new ones are served");
         fixture.set_faults(R"({"silent":true})");
         http_call call;
         call.timeout = 200ms;
@@ -241,19 +245,20 @@
         EXPECT_EQ(fixture.get("/a").http_status, 200U);
     }
     {
-        SCOPED_TRACE("health lies");
+        SCOPED_TRACE("the health endpoint reports the inverse");
         EXPECT_EQ(fixture.get("/health").http_status, 200U);
         fixture.set_faults(R"({"lie":true})");
         EXPECT_EQ(fixture.get("/health").http_status, 503U);
     }
     {
-        SCOPED_TRACE("a share is shed");
+        SCOPED_TRACE("a fraction of the requests is shed");
         fixture.set_faults(R"({"lie":false,"shed_share":1})");
         EXPECT_EQ(fixture.get("/a").http_status, 503U);
         fixture.set_faults(R"({"shed_share":0})");
     }
     {
-        SCOPED_TRACE("a poisoned request drops every connection for a while");
+        SCOPED_TRACE("a poisoned request closes and refuses connections for "
+                     "refuse_time");
         const auto result =
             fixture.post("/a", std::string("x") + std::string(poison_marker));
         EXPECT_EQ(result.status, http_call_status::broken);
@@ -266,9 +271,9 @@
     }
 }
 
-TEST(standin_upstream, announces_calls_and_leaves_through_its_node)
+TEST(standin_upstream, announces_calls_and_drains_through_its_node)
 {
-    // A node's loopback port that records what it is node_requests.
+    // The loopback port of a node; records the requests that it receives.
     std::vector<json_request> node_requests;
     auto settings = quick_settings();
     settings.stop_time = 2s;
@@ -304,7 +309,7 @@
         announced.at("endpoint").as_string(), to_string(fixture.listening));
     EXPECT_EQ(announced.at("slots").to_number<int>(), 100);
     {
-        SCOPED_TRACE("a child call goes through the node");
+        SCOPED_TRACE("child calls go through the node");
         const auto result =
             fixture.get("/a?calls=/payments/charge,/stock/check&marker=m");
         EXPECT_EQ(result.http_status, 200U);
@@ -312,7 +317,7 @@
         EXPECT_TRUE(has_received("/stock/check?marker=m"));
     }
     {
-        SCOPED_TRACE("a stop drains, leaves and ends");
+        SCOPED_TRACE("a stop drains, leaves the node and stops the context");
         asio::co_spawn(
             fixture.context, stop_upstream(fixture.upstream, fixture.listening),
             asio::detached);
--- a/tools/cyclamen-settings-reference/main.cpp
+++ b/tools/cyclamen-settings-reference/main.cpp
@@ -1,4 +1,4 @@
-// Prints the table of a node's settings, for the operators' page.
+// Prints the reference table of the node settings for the operators' page.
 #include "adapters/settings.hpp"
 
 #include <iostream>
--- a/tools/cyclamen-standin-platform/main.cpp
+++ b/tools/cyclamen-standin-platform/main.cpp
@@ -1,4 +1,4 @@
-// Stand-in of the platform's key-value service, for tests and trials.
+// Stand-in for the platform's key-value service, for tests and experiments.
 #include "platform_server.hpp"
 
 #include "adapters/json_server.hpp"
@@ -50,9 +50,9 @@
 {
     cxxopts::Options options(
         "cyclamen-standin-platform",
-        "Stand-in of the platform's key-value service.");
+        "Stand-in for the platform's key-value service.");
     options.add_options()(
-        "listen", "Address and port; port 0 takes a free one",
+        "listen", "Address and port; port 0 selects a free one",
         cxxopts::value<std::string>()->default_value("127.0.0.1:0"))(
         "help", "Print this help")("version", "Print the version");
     try
--- a/tools/cyclamen-standin-platform/platform_server.cpp
+++ b/tools/cyclamen-standin-platform/platform_server.cpp
@@ -19,10 +19,10 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 
-// A call that waits for its answer from the store.
+// A call whose reply from the store is pending.
 struct pending_store_call
 {
-    // Cancelled when the reply is there.
+    // Never expires; cancelled when the reply has arrived.
     asio::steady_timer ready;
     std::optional<platform_reply> reply;
 };
@@ -46,7 +46,7 @@
 
 constexpr auto as_result = asio::as_tuple(asio::use_awaitable);
 
-// Hands out the answers that are due, and comes back for the next ones.
+// Delivers the replies that are due and schedules itself for the next one.
 void deliver_due_replies(const server_pointer& server)
 {
     for (auto& [caller, reply] : store_poll(server->store, now()))
@@ -90,7 +90,7 @@
     }
     server->waiting.erase(caller);
     json_reply reply;
-    // A caller of a platform that is away gets no answer.
+    // While the platform is down, the connection closes without a reply.
     reply.drop = waiting.reply->status == platform_status::unavailable;
     const auto encoded =
         platform::store_codec().encode_reply(call, *waiting.reply);
@@ -129,7 +129,8 @@
     return {200, json::serialize(object), false};
 }
 
-// Sets one fault; false when the value has the wrong type or range.
+// Sets one fault. Returns false when the name is unknown or the value has the
+// wrong type or range.
 bool set_fault(
     platform_server& server, store_faults& faults, std::string_view name,
     const json::value& value)
@@ -154,8 +155,8 @@
     }
     json::error_code error;
     const auto number = value.to_number<double>(error);
-    constexpr double largest = 1e9;
-    if (error || number < 0 || number > largest)
+    constexpr double max_value = 1e9;
+    if (error || number < 0 || number > max_value)
     {
         return false;
     }
--- a/tools/cyclamen-standin-platform/platform_server.hpp
+++ b/tools/cyclamen-standin-platform/platform_server.hpp
@@ -14,18 +14,18 @@
 
 struct platform_server;
 
-// A server whose store outlives its connections.
+// Creates a server. Its store is kept while no connection is open.
 [[nodiscard]] std::shared_ptr<platform_server>
 make_platform_server(const boost::asio::any_io_executor& executor);
 
 // Serves `POST /v1/kv/<operation>`, `GET /v1/calls` and `GET` and
-// `PUT /v1/faults`; returns where it listens.
+// `PUT /v1/faults`. Returns the bound endpoint.
 [[nodiscard]] absl::StatusOr<boost::asio::ip::tcp::endpoint>
 start_platform_server(
     const std::shared_ptr<platform_server>& server,
     const boost::asio::ip::tcp::endpoint& endpoint);
 
-// For tests in the same process.
+// The store, for tests that run in the same process.
 [[nodiscard]] key_value_store& platform_store(platform_server& server);
 
 } // namespace cyclamenhold
--- a/tools/cyclamen-standin-upstream/announcer.cpp
+++ b/tools/cyclamen-standin-upstream/announcer.cpp
@@ -21,10 +21,10 @@
 constexpr auto announce_interval = 1s;
 constexpr auto announce_retry = 100ms;
 constexpr auto announce_timeout = 500ms;
-// A drained upstream that got no request for so long gets none any more.
+// A draining upstream without a request for this long counts as drained.
 constexpr auto drain_idle_time = 300ms;
 constexpr auto stop_poll = 20ms;
-// Samples of the load endpoint reach so far back.
+// Bounds the lag that the health and load endpoints can simulate.
 constexpr auto max_sample_age = 60s;
 
 asio::awaitable<void> pause_for(duration time)
--- a/tools/cyclamen-standin-upstream/child_calls.cpp
+++ b/tools/cyclamen-standin-upstream/child_calls.cpp
@@ -18,11 +18,11 @@
 std::vector<std::string>
 child_paths_of(const upstream_state& upstream, const received_request& request)
 {
-    const std::string wanted = query_value(request.query, "calls");
-    return wanted.empty() ? upstream.settings.calls : split(wanted, ',');
+    const std::string requested = query_value(request.query, "calls");
+    return requested.empty() ? upstream.settings.calls : split(requested, ',');
 }
 
-// Any endpoint of the first service whose prefix fits.
+// A random endpoint of the first service whose prefix matches the path.
 std::optional<tcp::endpoint>
 direct_endpoint(upstream_state& upstream, std::string_view path)
 {
@@ -51,7 +51,8 @@
         call.target += path.find('?') == std::string::npos ? '?' : '&';
         call.target += "marker=" + marker;
     }
-    // The handle is opaque here; the node knows the rest from it.
+    // An opaque handle; the node derives the rest of the call's context from
+    // it.
     const auto handle = header_value(request.headers, "Cyclamen-Call");
     if (!handle.empty())
     {
@@ -76,7 +77,7 @@
     const std::string& path, time_point deadline)
 {
     http_result result;
-    // Through a node there is one attempt: the node does the retries.
+    // One attempt through a node, since the node retries.
     const auto direct = direct_endpoint(upstream, path);
     const std::uint32_t retries = direct ? upstream.settings.child_retries : 0;
     for (std::uint32_t attempt = 0; attempt <= retries; ++attempt)
@@ -111,7 +112,8 @@
     {
         return outcome;
     }
-    // A refusal tells the caller when to come back; keep that.
+    // Passes on refusals and timeouts as they are, so that the caller can wait
+    // for the time in Retry-After.
     if (result.http_status == 429 || result.http_status == 503 ||
         result.http_status == 504)
     {
--- a/tools/cyclamen-standin-upstream/command_line.cpp
+++ b/tools/cyclamen-standin-upstream/command_line.cpp
@@ -12,7 +12,7 @@
 cxxopts::Options make_options()
 {
     cxxopts::Options options(
-        "cyclamen-standin-upstream", "Stand-in of one upstream worker.");
+        "cyclamen-standin-upstream", "Stand-in for one upstream worker.");
     const auto text = [](const char* value)
     {
         return cxxopts::value<std::string>()->default_value(value);
@@ -25,28 +25,31 @@
     {
         return cxxopts::value<double>()->default_value(value);
     };
-    options.add_options()("service", "Name announced", text("service"))(
-        "listen", "Address and port; port 0 takes a free one",
+    options.add_options()(
+        "service", "Service name to announce", text("service"))(
+        "listen", "Address and port; port 0 selects a free one",
         text("127.0.0.1:0"))(
         "control", "Address and port of the control port",
         text("127.0.0.1:0"))("node", "Loopback port of its node", text(""))(
-        "slots", "Requests worked on at a time",
-        number("100"))("connections", "Most open connections", number("1000"))(
-        "queue", "Requests that wait for a slot",
+        "slots", "Requests processed concurrently", number("100"))(
+        "connections", "Maximum of open connections", number("1000"))(
+        "queue", "Maximum of requests queued for a slot",
         number("100"))("service-time-ms", "Mean service time", real("20"))(
         "distribution", "fixed, exponential or lognormal", text("lognormal"))(
         "sigma", "Shape of the lognormal distribution", real("0.5"))(
-        "cold-factor", "Service time factor at the start",
-        real("1"))("warm-up-ms", "Time until that factor is gone", number("0"))(
-        "seed", "Seed of all random numbers", number("1"))(
-        "calls", "Paths called for each request, with commas", text(""))(
+        "cold-factor", "Service time factor at the start", real("1"))(
+        "warm-up-ms", "Time until that factor has fallen to 1",
+        number("0"))("seed", "Seed of all random numbers", number("1"))(
+        "calls", "Paths called for each request, separated by commas",
+        text(""))(
         "direct", "PREFIX=ENDPOINT,ENDPOINT;... called without a node",
         text(""))(
         "child-retries", "Retries of direct child calls", number("0"))(
-        "child-timeout-ms", "Bound of one child call", number("2000"))(
-        "crash", "exit or close, for a poisoned request", text("exit"))(
-        "refuse-ms", "Time without connections after --crash close",
-        number("1000"))("stop-ms", "Bound of a graceful stop", number("5000"))(
+        "child-timeout-ms", "Timeout of one child call", number("2000"))(
+        "crash", "Effect of a poisoned request: exit or close", text("exit"))(
+        "refuse-ms", "Time that connections are refused after --crash close",
+        number("1000"))(
+        "stop-ms", "Time limit of a graceful stop", number("5000"))(
         "help", "Print this help")("version", "Print the version");
     return options;
 }
@@ -73,7 +76,7 @@
     const auto value = value_named<Enum>(arguments[name].as<std::string>());
     if (!value)
     {
-        add_finding(found, "--" + name, "is not known");
+        add_finding(found, "--" + name, "has an unknown value");
         return Enum{};
     }
     return *value;
@@ -81,16 +84,16 @@
 
 std::uint64_t read_number(
     const cxxopts::ParseResult& arguments, const std::string& name,
-    std::uint64_t least, findings& found)
+    std::uint64_t minimum, findings& found)
 {
-    constexpr std::uint64_t most = 1'000'000'000;
+    constexpr std::uint64_t maximum = 1'000'000'000;
     const auto value = arguments[name].as<std::uint64_t>();
-    if (value < least || value > most)
+    if (value < minimum || value > maximum)
     {
         add_finding(
             found, "--" + name,
-            "must be between " + std::to_string(least) + " and " +
-                std::to_string(most));
+            "must be between " + std::to_string(minimum) + " and " +
+                std::to_string(maximum));
     }
     return value;
 }
@@ -99,9 +102,9 @@
     const cxxopts::ParseResult& arguments, const std::string& name,
     findings& found)
 {
-    constexpr double most = 1e6;
+    constexpr double maximum = 1e6;
     const double value = arguments[name].as<double>();
-    if (!(value >= 0.0 && value <= most))
+    if (!(value >= 0.0 && value <= maximum))
     {
         add_finding(found, "--" + name, "must be between 0 and 1000000");
         return 0.0;
--- a/tools/cyclamen-standin-upstream/command_line.hpp
+++ b/tools/cyclamen-standin-upstream/command_line.hpp
@@ -11,9 +11,9 @@
 struct command_line
 {
     upstream_settings settings;
-    // Printed instead of running when not empty.
+    // Help or version text; when not empty, it is printed and nothing runs.
     std::string text;
-    // All that is wrong with the arguments.
+    // Every error in the arguments.
     findings found;
 };
 
--- a/tools/cyclamen-standin-upstream/control_port.cpp
+++ b/tools/cyclamen-standin-upstream/control_port.cpp
@@ -57,7 +57,8 @@
     return {200, json::serialize(object), false};
 }
 
-// Faults that act once, when they are switched.
+// Sets one boolean fault, or triggers one that acts once (`silent`, `close`,
+// `die`). Returns false when the name is unknown.
 bool set_switch(
     upstream_state& upstream, upstream_faults& faults, std::string_view name,
     bool on)
@@ -86,10 +87,12 @@
     return true;
 }
 
+// Sets one numeric fault. Returns false when the name is unknown or the number
+// is out of range.
 bool set_number(upstream_faults& faults, std::string_view name, double number)
 {
-    constexpr double largest = 1e9;
-    if (number < 0 || number > largest)
+    constexpr double max_value = 1e9;
+    if (number < 0 || number > max_value)
     {
         return false;
     }
@@ -133,11 +136,11 @@
         const std::string_view key(name.data(), name.size());
         json::error_code not_number;
         const auto number = setting.to_number<double>(not_number);
-        const bool known =
+        const bool is_valid =
             setting.is_bool()
                 ? set_switch(upstream, changed, key, setting.get_bool())
                 : !not_number && set_number(changed, key, number);
-        if (!known)
+        if (!is_valid)
         {
             add_finding(
                 found, "/" + std::string(key), "unknown fault or bad value");
--- a/tools/cyclamen-standin-upstream/control_port.hpp
+++ b/tools/cyclamen-standin-upstream/control_port.hpp
@@ -1,5 +1,5 @@
-// The control port of a stand-in upstream, where tests read what it ran and
-// switch its faults.
+// The control port of a stand-in upstream: tests read its request log and
+// counters there and inject faults.
 #pragma once
 
 #include "upstream_state.hpp"
@@ -13,7 +13,7 @@
 {
 
 // Serves `GET /v1/ran`, `GET /v1/received`, `GET /v1/counts` and
-// `PUT /v1/faults`; returns where it listens.
+// `PUT /v1/faults`. Returns the bound endpoint.
 [[nodiscard]] absl::StatusOr<boost::asio::ip::tcp::endpoint>
 start_control_port(const std::shared_ptr<upstream_state>& upstream);
 
--- a/tools/cyclamen-standin-upstream/crash.hpp
+++ b/tools/cyclamen-standin-upstream/crash.hpp
@@ -1,4 +1,4 @@
-// Sudden ends of a stand-in upstream.
+// Simulated crashes of a stand-in upstream.
 #pragma once
 
 #include "upstream_state.hpp"
@@ -6,13 +6,14 @@
 namespace cyclamenhold
 {
 
-// The exit code of a process that a request or a fault crashed.
+// The exit code after a crash by a poisoned request or an injected fault.
 constexpr int exit_crashed = 70;
 
-// Does to the upstream what a poisoned request does.
+// Crashes the upstream as its settings define: exits the process, or closes all
+// connections and refuses new ones for the refuse time.
 void crash(upstream_state& upstream);
 
-// Closes every open connection at once.
+// Closes every open connection immediately.
 void close_connections(upstream_state& upstream);
 
 } // namespace cyclamenhold
--- a/tools/cyclamen-standin-upstream/main.cpp
+++ b/tools/cyclamen-standin-upstream/main.cpp
@@ -1,4 +1,4 @@
-// Stand-in of one upstream worker, for tests and trials.
+// Stand-in for one upstream worker, for tests and experiments.
 #include "announcer.hpp"
 #include "command_line.hpp"
 #include "control_port.hpp"
--- a/tools/cyclamen-standin-upstream/upstream_server.cpp
+++ b/tools/cyclamen-standin-upstream/upstream_server.cpp
@@ -54,7 +54,7 @@
     return connection.number < upstream.silent_below;
 }
 
-// Holds the connection open and does nothing more on it.
+// Never completes, so that the connection stays open without a reply.
 asio::awaitable<void> stay_silent()
 {
     auto executor = co_await asio::this_coro::executor;
@@ -105,18 +105,18 @@
         {
             co_return error;
         }
-        const std::size_t got = chunk.size() - parser.get().body().size;
-        XXH3_64bits_update(hash.get(), chunk.data(), got);
-        request.body_bytes += got;
-        const std::size_t room =
+        const std::size_t received = chunk.size() - parser.get().body().size;
+        XXH3_64bits_update(hash.get(), chunk.data(), received);
+        request.body_bytes += received;
+        const std::size_t unused =
             max_echoed_body_bytes - request.body_start.size();
-        request.body_start.append(chunk.data(), std::min(got, room));
+        request.body_start.append(chunk.data(), std::min(received, unused));
     }
     request.body_hash = XXH3_64bits_digest(hash.get());
     co_return beast::error_code();
 }
 
-// Completes when the caller has closed the connection.
+// Completes when the caller closes the connection.
 asio::awaitable<void> wait_for_close(tcp::socket& socket)
 {
     const auto [error] =
@@ -134,11 +134,11 @@
     {
         co_return;
     }
-    // Bytes of a next request: the caller is still there.
+    // Bytes of a pipelined request: the connection is still open.
     co_await stay_silent();
 }
 
-// The bytes that large replies repeat.
+// One chunk of the fixed pattern that large replies repeat.
 const std::string& pattern_chunk()
 {
     static const std::string chunk = []
@@ -225,7 +225,7 @@
     co_return true;
 }
 
-// Serves one request; false when the connection is over.
+// Serves one request. Returns false when the connection must close.
 asio::awaitable<bool>
 serve_one(const upstream_pointer& upstream, upstream_connection& connection)
 {
--- a/tools/cyclamen-standin-upstream/upstream_server.hpp
+++ b/tools/cyclamen-standin-upstream/upstream_server.hpp
@@ -11,7 +11,8 @@
 namespace cyclamenhold
 {
 
-// Listens at the settings' address; returns where.
+// Listens at the settings' address. Returns the bound endpoint, or
+// `kUnavailable` with the address and the system's error.
 [[nodiscard]] absl::StatusOr<boost::asio::ip::tcp::endpoint>
 start_upstream_server(const std::shared_ptr<upstream_state>& upstream);
 
--- a/tools/cyclamen-standin-upstream/upstream_settings.hpp
+++ b/tools/cyclamen-standin-upstream/upstream_settings.hpp
@@ -1,4 +1,4 @@
-// What one stand-in upstream is told on its command line.
+// The settings of a stand-in upstream, set on its command line.
 #pragma once
 
 #include "core/base/findings.hpp"
@@ -35,12 +35,12 @@
              {time_distribution::lognormal, "lognormal"}}};
 };
 
-// What a poisoned request does to the process.
+// The effect of a poisoned request on the process.
 enum class crash_kind : std::uint8_t
 {
-    // Exits at once with a failure.
+    // Exits immediately with `exit_crashed`.
     exit,
-    // Closes all connections and refuses new ones for a while.
+    // Closes all connections and refuses new ones for `refuse_time`.
     close
 };
 
@@ -51,8 +51,8 @@
         table{{{crash_kind::exit, "exit"}, {crash_kind::close, "close"}}};
 };
 
-// Upstreams of one path prefix that are called without a node in between, for
-// comparison runs.
+// Upstreams for one path prefix that are called directly, for comparison runs
+// without nodes.
 struct direct_service
 {
     std::string path_prefix;
@@ -68,27 +68,28 @@
     std::optional<boost::asio::ip::tcp::endpoint> node;
     std::size_t slots = 100;
     std::size_t connections = 1'000;
-    // Requests that wait for a slot; more are shed with 503.
+    // Maximum of requests queued for a slot; the rest is shed with 503.
     std::size_t queue = 100;
     duration service_time = 20ms;
     time_distribution distribution = time_distribution::lognormal;
     // Shape of the lognormal distribution.
     double sigma = 0.5;
-    // Service times start this much longer and fall to normal in `warm_up`.
+    // Initial factor of the service times; falls linearly to 1 within
+    // `warm_up`.
     double cold_factor = 1.0;
     duration warm_up{};
     std::uint64_t seed = 1;
-    // Paths called for each request that does not name its own.
+    // Paths called for each request without a `calls` parameter.
     std::vector<std::string> calls;
     std::vector<direct_service> direct;
-    // Times that a failed child call without a node is sent again.
+    // Retries of a failed direct child call.
     std::uint32_t child_retries = 0;
     duration child_timeout = 2s;
     crash_kind crash = crash_kind::exit;
     duration refuse_time = 1s;
-    // The longest a graceful stop may take.
+    // Time limit of a graceful stop.
     duration stop_time = 5s;
-    // Entries kept in the log of what ran, and bytes of received headers.
+    // Limits of the request log and of the log of received header bytes.
     std::size_t max_logged_requests = 100'000;
     std::size_t max_received_bytes = 1'000'000;
 };
@@ -97,7 +98,7 @@
 [[nodiscard]] std::vector<direct_service>
 parse_direct_services(std::string_view text, findings& found);
 
-// The parts of a text between separators; none for an empty text.
+// Splits a text at each separator. An empty text has no parts.
 [[nodiscard]] std::vector<std::string>
 split(std::string_view text, char separator);
 
--- a/tools/cyclamen-standin-upstream/upstream_state.cpp
+++ b/tools/cyclamen-standin-upstream/upstream_state.cpp
@@ -24,14 +24,14 @@
     case time_distribution::exponential:
         return std::exponential_distribution<double>(1.0)(upstream.random);
     case time_distribution::lognormal:
-        // Shifted so that the mean is one.
+        // The mean of exp(N(-sigma^2 / 2, sigma)) is 1.
         return std::lognormal_distribution<double>(-sigma * sigma / 2, sigma)(
             upstream.random);
     }
     return 1.0;
 }
 
-// Falls from the cold factor to one during the warm-up.
+// Falls linearly from the configured factor to 1 during the warm-up.
 double cold_factor(const upstream_state& upstream, time_point now)
 {
     const duration age = now - upstream.started_at;
@@ -40,17 +40,17 @@
     {
         return 1.0;
     }
-    const double left = 1.0 - to_seconds(age) / to_seconds(warm_up);
-    return 1.0 + (upstream.settings.cold_factor - 1.0) * left;
+    const double remaining = 1.0 - to_seconds(age) / to_seconds(warm_up);
+    return 1.0 + (upstream.settings.cold_factor - 1.0) * remaining;
 }
 
 } // namespace
 
 upstream_state::upstream_state(
-    boost::asio::io_context& on, const upstream_settings& with)
-    : context(on),
-      settings(with),
-      random(with.seed),
+    boost::asio::io_context& io, const upstream_settings& initial)
+    : context(io),
+      settings(initial),
+      random(initial.seed),
       started_at(now()),
       last_request_at(started_at)
 {
@@ -85,7 +85,7 @@
 {
     upstream.received.append(bytes);
     const std::size_t limit = upstream.settings.max_received_bytes;
-    // Dropped by halves, so that appending stays cheap.
+    // Trimmed only at twice the limit, so that appending is amortized O(1).
     if (upstream.received.size() > 2 * limit)
     {
         upstream.received.erase(0, upstream.received.size() - limit);
--- a/tools/cyclamen-standin-upstream/upstream_state.hpp
+++ b/tools/cyclamen-standin-upstream/upstream_state.hpp
@@ -1,5 +1,5 @@
-// The state of one stand-in upstream: faults in force, slots, service times,
-// and the log of what it received and ran. All of it belongs to one thread.
+// The state of one stand-in upstream: active faults, slots, service times, and
+// logs of received and processed requests. Used on one thread only.
 #pragma once
 
 #include "upstream_settings.hpp"
@@ -24,26 +24,26 @@
 
 struct upstream_faults
 {
-    // Service times are multiplied by this.
+    // Factor of the service times.
     double slow_factor = 1.0;
-    // The share of requests answered 503 at once.
+    // The fraction of requests that are shed with 503, from 0 to 1.
     double shed_share = 0.0;
-    // The health and load endpoints say the opposite of the truth.
+    // The health and load endpoints report the inverse of the actual state.
     bool lie = false;
-    // The health and load endpoints report this long ago.
+    // The age of the state that the health and load endpoints report.
     duration lag{};
-    // New connections are closed at once until then.
+    // New connections are closed immediately until this time.
     time_point refuse_until{};
 };
 
-// One request that took a slot.
+// Log entry of a request that acquired a slot.
 struct logged_request
 {
     std::string marker;
     std::string path;
     // Milliseconds since the Unix epoch.
     std::uint64_t started_ms = 0;
-    // Zero while it runs.
+    // Zero while the request runs.
     std::uint64_t finished_ms = 0;
     std::uint64_t bytes = 0;
     bool aborted = false;
@@ -64,7 +64,8 @@
     std::uint64_t failed_child_calls = 0;
 };
 
-// What the load endpoint shows, sampled now and then so that it can lag.
+// A sample of the load, from which the health and load endpoints report with
+// a lag.
 struct load_sample
 {
     time_point at{};
@@ -74,7 +75,8 @@
 
 struct upstream_state
 {
-    upstream_state(boost::asio::io_context& on, const upstream_settings& with);
+    upstream_state(
+        boost::asio::io_context& io, const upstream_settings& initial);
 
     boost::asio::io_context& context;
     upstream_settings settings;
@@ -84,37 +86,38 @@
     time_point started_at;
     time_point last_request_at;
     async_semaphore slots;
-    // Closes each open connection, by its number.
+    // The functions that close the open connections, by connection number.
     std::map<std::uint64_t, std::function<void()>> open_connections;
     std::uint64_t next_connection = 1;
-    // Connections with a lower number neither read nor answer any more.
+    // Connections with a lower number read no requests and send no replies.
     std::uint64_t silent_below = 0;
     bool stopping = false;
     std::deque<load_sample> samples;
-    // The newest entries; those of running requests are shared with them.
+    // The newest log entries; a running request shares its entry.
     std::deque<std::shared_ptr<logged_request>> ran;
-    // Raw header bytes as they came, the oldest dropped.
+    // Received header bytes in order of arrival; the oldest are dropped.
     std::string received;
-    // One pool for the node, or one for each direct endpoint.
+    // Connection pools to the node and to the direct endpoints.
     std::map<boost::asio::ip::tcp::endpoint, std::unique_ptr<http_pool>> pools;
 };
 
 [[nodiscard]] std::size_t in_flight(const upstream_state& upstream);
 
-// Draws how long the next request works.
+// Draws a random service time for the next request.
 [[nodiscard]] duration
 draw_service_time(upstream_state& upstream, time_point now);
 
 [[nodiscard]] http_pool& pool_for(
     upstream_state& upstream, const boost::asio::ip::tcp::endpoint& endpoint);
 
-// Keeps header bytes, dropping the oldest above the bound.
+// Appends received header bytes; drops the oldest above twice the limit.
 void append_received(upstream_state& upstream, std::string_view bytes);
 
-// Adds an entry for a request that begins to run.
+// Adds a log entry for a request that starts to run.
 [[nodiscard]] std::shared_ptr<logged_request> log_request_start(
     upstream_state& upstream, std::string marker, std::string path,
     std::uint64_t bytes);
+// Completes the log entry of a request.
 void log_request_end(
     upstream_state& upstream, logged_request& entry, bool aborted);
 
--- a/tools/cyclamen-standin-upstream/work.cpp
+++ b/tools/cyclamen-standin-upstream/work.cpp
@@ -33,7 +33,7 @@
     return value;
 }
 
-// Without the header there is no deadline.
+// The deadline of the request; 24 h from now without the header.
 time_point deadline_of(const received_request& request)
 {
     const auto remaining =
@@ -76,31 +76,34 @@
     return plain_reply(503, "shed\n");
 }
 
-// The newest sample that is old enough for the lag in force.
+// The newest sample that is at least as old as the simulated lag.
 load_sample lagged_sample(upstream_state& upstream)
 {
     const time_point at = now();
-    load_sample chosen{at, in_flight(upstream), upstream.slots.waiters.size()};
+    load_sample selected{
+        at, in_flight(upstream), upstream.slots.waiters.size()};
     if (upstream.faults.lag == duration::zero())
     {
-        return chosen;
+        return selected;
     }
     for (const load_sample& sample : upstream.samples)
     {
         if (sample.at <= at - upstream.faults.lag)
         {
-            chosen = sample;
+            selected = sample;
         }
     }
-    return chosen;
+    return selected;
 }
 
 reply_plan show_health(upstream_state& upstream)
 {
     const load_sample sample = lagged_sample(upstream);
     const bool healthy = sample.in_flight < upstream.settings.slots;
-    const bool said = healthy != upstream.faults.lie;
-    return plain_reply(said ? 200 : 503, said ? "ok\n" : "overloaded\n");
+    const bool reported_healthy = healthy != upstream.faults.lie;
+    return plain_reply(
+        reported_healthy ? 200 : 503,
+        reported_healthy ? "ok\n" : "overloaded\n");
 }
 
 reply_plan show_load(upstream_state& upstream)
@@ -115,7 +118,8 @@
     return plain_reply(200, json::serialize(object));
 }
 
-// Marks a request that is destroyed while it runs as aborted.
+// Logs the end of a request: finished, or aborted when its coroutine is
+// destroyed or its deadline passes before it finishes.
 class scoped_request_log
 {
 public:
@@ -152,10 +156,11 @@
         {"X-Request-Checksum", checksum_text(request.body_hash)});
     plan.headers.push_back(
         {"Cyclamen-Request-Bytes", std::to_string(request.body_bytes)});
-    const auto wanted = parse_size(query_value(request.query, "reply_bytes"));
-    if (wanted)
+    const auto requested =
+        parse_size(query_value(request.query, "reply_bytes"));
+    if (requested)
     {
-        plan.pattern_bytes = std::min(*wanted, max_reply_bytes);
+        plan.pattern_bytes = std::min(*requested, max_reply_bytes);
         return plan;
     }
     if (request.body_bytes <= max_echoed_body_bytes)
@@ -165,7 +170,7 @@
     return plan;
 }
 
-// Works for the service time, or until the deadline; false then.
+// Waits for the service time. Returns false when the deadline passes first.
 asio::awaitable<bool> work(upstream_state& upstream, time_point deadline)
 {
     const time_point start = now();
--- a/tools/cyclamen-standin-upstream/work.hpp
+++ b/tools/cyclamen-standin-upstream/work.hpp
@@ -1,5 +1,5 @@
-// What a stand-in upstream does with one request: waits for a slot, works for
-// its service time, makes its child calls, and decides on the reply.
+// Processes one request in a stand-in upstream: acquires a slot, waits for the
+// service time, makes the child calls, and plans the reply.
 #pragma once
 
 #include "upstream_state.hpp"
@@ -21,17 +21,17 @@
     // Without the question mark.
     std::string query;
     std::vector<http_header> headers;
-    // The first bytes of the body.
+    // The first `max_echoed_body_bytes` of the body.
     std::string body_start;
     std::uint64_t body_bytes = 0;
     // XXH3 of the whole body.
     std::uint64_t body_hash = 0;
 };
 
-// Bodies up to this size are kept whole and echoed.
+// Request bodies up to this size are echoed in the reply.
 constexpr std::size_t max_echoed_body_bytes = 64 * 1024;
 constexpr std::uint64_t max_reply_bytes = 64ULL * 1024 * 1024;
-// A request whose body holds this, or whose headers have X-Poison, crashes the
+// A request with this text in its body, or with a header X-Poison, crashes the
 // upstream that runs it.
 constexpr std::string_view poison_marker = "cyclamen-poison";
 
@@ -40,16 +40,16 @@
     unsigned status = 200;
     std::vector<http_header> headers;
     std::string body;
-    // Set where the body is so many bytes of a fixed pattern instead.
+    // When set, the body is this many bytes of a fixed pattern.
     std::optional<std::uint64_t> pattern_bytes;
-    // Close the connection without an answer.
+    // Close the connection without a reply.
     bool drop = false;
 };
 
 [[nodiscard]] boost::asio::awaitable<reply_plan>
 run_request(upstream_state& upstream, const received_request& request);
 
-// The value of one parameter of a query string, or "".
+// The value of a query parameter; empty when it is missing.
 [[nodiscard]] std::string
 query_value(std::string_view query, std::string_view name);
 
