--- a/tools/python/processes.py
+++ b/tools/python/processes.py
@@ -13,7 +13,7 @@
 
 
 def strip_comments(text):
-    """Removes comments outside of strings, and trailing commas."""
+    """Removes comments outside strings, and trailing commas."""
     pattern = r'("(?:\\.|[^"\\])*")|//[^\n]*|/\*.*?\*/'
     text = re.sub(pattern, lambda m: m.group(1) or "", text, flags=re.S)
     return re.sub(r",(\s*[}\]])", r"\1", text)
@@ -25,7 +25,7 @@
 
 
 def new_uuid7():
-    """An idempotency key that carries the time it was made (RFC 9562)."""
+    """Returns an idempotency key with its creation time (RFC 9562)."""
     value = (int(time.time() * 1000) << 80) | (7 << 76) | (2 << 62)
     value |= (secrets.randbits(12) << 64) | secrets.randbits(62)
     return str(uuid.UUID(int=value))
@@ -40,7 +40,7 @@
         self.running = []
 
     def start(self, program, label, *arguments):
-        """Starts a program and returns its first line of output, parsed."""
+        """Starts a program; returns its first line of output as JSON."""
         log = open(os.path.join(self.folder, label + ".log"), "wb")
         process = subprocess.Popen(
             [os.path.join(self.binaries, program), *map(str, arguments)],
@@ -49,11 +49,12 @@
         line = process.stdout.readline()
         if not line:
             process.wait(START_TIMEOUT_S)
-            raise RuntimeError(f"{label} did not start, see {log.name}")
+            raise RuntimeError(
+                f"{label} exited without output; its log is {log.name}")
         return json.loads(line)
 
     def stop(self):
-        """Stops all gracefully; returns the labels of those that failed to."""
+        """Stops all gracefully; returns a message for each that failed."""
         failed = []
         for program in ("upstream", "node", "platform"):
             group = [
