--- a/tools/cyclamen-standin-upstream/control_port.cpp
+++ b/tools/cyclamen-standin-upstream/control_port.cpp
@@ -65,7 +65,7 @@
 {
     if (name == "lie")
     {
-        faults.lie = on;
+        faults.inverts_reports = on;
     }
     else if (name == "silent")
     {
--- a/tools/cyclamen-standin-upstream/upstream_server.cpp
+++ b/tools/cyclamen-standin-upstream/upstream_server.cpp
@@ -55,7 +55,7 @@
 }
 
 // Never completes, so that the connection stays open without a reply.
-asio::awaitable<void> stay_silent()
+asio::awaitable<void> wait_forever()
 {
     auto executor = co_await asio::this_coro::executor;
     asio::steady_timer timer(executor, time_point::max());
@@ -135,7 +135,7 @@
         co_return;
     }
     // Bytes of a pipelined request: the connection is still open.
-    co_await stay_silent();
+    co_await wait_forever();
 }
 
 // One chunk of the fixed pattern that large replies repeat.
@@ -241,7 +241,7 @@
     }
     if (is_silent(*upstream, connection))
     {
-        co_await stay_silent();
+        co_await wait_forever();
     }
     received_request request = parse_request_head(*upstream, parser);
     if (const auto body_error = co_await read_body(connection, parser, request))
@@ -258,7 +258,7 @@
     }
     if (is_silent(*upstream, connection))
     {
-        co_await stay_silent();
+        co_await wait_forever();
     }
     const reply_plan plan = std::get<0>(std::move(ended));
     if (plan.drop)
--- a/tools/cyclamen-standin-upstream/upstream_state.hpp
+++ b/tools/cyclamen-standin-upstream/upstream_state.hpp
@@ -29,7 +29,7 @@
     // The fraction of requests that are shed with 503, from 0 to 1.
     double shed_share = 0.0;
     // The health and load endpoints report the inverse of the actual state.
-    bool lie = false;
+    bool inverts_reports = false;
     // The age of the state that the health and load endpoints report.
     duration lag{};
     // New connections are closed immediately until this time.
--- a/tools/cyclamen-standin-upstream/work.cpp
+++ b/tools/cyclamen-standin-upstream/work.cpp
@@ -100,7 +100,7 @@
 {
     const load_sample sample = lagged_sample(upstream);
     const bool healthy = sample.in_flight < upstream.settings.slots;
-    const bool reported_healthy = healthy != upstream.faults.lie;
+    const bool reported_healthy = healthy != upstream.faults.inverts_reports;
     return plain_reply(
         reported_healthy ? 200 : 503,
         reported_healthy ? "ok\n" : "overloaded\n");
@@ -112,9 +112,10 @@
     const std::size_t slots = upstream.settings.slots;
     json::object object;
     object["slots"] = slots;
-    object["in_flight"] =
-        upstream.faults.lie ? slots - sample.in_flight : sample.in_flight;
-    object["queued"] = upstream.faults.lie ? 0 : sample.queued;
+    object["in_flight"] = upstream.faults.inverts_reports
+                              ? slots - sample.in_flight
+                              : sample.in_flight;
+    object["queued"] = upstream.faults.inverts_reports ? 0 : sample.queued;
     return plain_reply(200, json::serialize(object));
 }
 
