--- a/tests/adapters/standin_upstream_test.cpp
+++ b/tests/adapters/standin_upstream_test.cpp
@@ -121,6 +121,8 @@
     http_pool control_pool;
 };
 
+// Other tests compare checksums of bodies through a node with those of the
+// upstream, and read its logs for what ran.
 TEST(standin_upstream, echoes_and_streams)
 {
     upstream_fixture fixture(quick_settings());
@@ -231,6 +233,8 @@
     }
 }
 
+// A fault that is accepted but has no effect would let a fault test pass
+// without a fault.
 TEST(standin_upstream, applies_faults_from_the_control_port)
 {
     upstream_fixture fixture(quick_settings());
@@ -271,6 +275,8 @@
     }
 }
 
+// The upstream must announce itself, drain and leave at its node, and send its
+// child calls there; otherwise the node has no control over its load.
 TEST(standin_upstream, announces_calls_and_drains_through_its_node)
 {
     // The loopback port of a node; records the requests that it receives.
