--- a/tools/cyclamen-standin-platform/platform_server.cpp
+++ b/tools/cyclamen-standin-platform/platform_server.cpp
@@ -19,10 +19,10 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 
-// A call that waits for its answer from the store.
-struct waiting_call
+// A call whose reply from the store is pending.
+struct pending_store_call
 {
-    // Cancelled when the reply is there.
+    // Never expires; cancelled when the reply has arrived.
     asio::steady_timer ready;
     std::optional<platform_reply> reply;
 };
@@ -34,7 +34,7 @@
     {
     }
     key_value_store store;
-    std::map<store_caller, waiting_call*> waiting;
+    std::map<store_caller, pending_store_call*> waiting;
     store_caller next_caller = 1;
     asio::steady_timer poll_timer;
 };
@@ -46,8 +46,8 @@
 
 constexpr auto as_result = asio::as_tuple(asio::use_awaitable);
 
-// Hands out the answers that are due, and comes back for the next ones.
-void poll_store(const server_pointer& server)
+// Delivers the replies that are due and schedules itself for the next one.
+void deliver_due_replies(const server_pointer& server)
 {
     for (auto& [caller, reply] : store_poll(server->store, now()))
     {
@@ -69,7 +69,7 @@
         {
             if (!error)
             {
-                poll_store(server);
+                deliver_due_replies(server);
             }
         });
 }
@@ -79,18 +79,18 @@
 {
     auto executor = co_await asio::this_coro::executor;
     const store_caller caller = server->next_caller++;
-    waiting_call waiting{
+    pending_store_call waiting{
         asio::steady_timer(executor, time_point::max()), std::nullopt};
     server->waiting.emplace(caller, &waiting);
     store_call(server->store, caller, call, now());
-    poll_store(server);
+    deliver_due_replies(server);
     while (!waiting.reply)
     {
         co_await waiting.ready.async_wait(as_result);
     }
     server->waiting.erase(caller);
     json_reply reply;
-    // A caller of a platform that is away gets no answer.
+    // While the platform is down, the connection closes without a reply.
     reply.drop = waiting.reply->status == platform_status::unavailable;
     const auto encoded =
         platform::store_codec().encode_reply(call, *waiting.reply);
@@ -129,7 +129,8 @@
     return {200, json::serialize(object), false};
 }
 
-// Sets one fault; false when the value has the wrong type or range.
+// Sets one fault. Returns false when the name is unknown or the value has the
+// wrong type or range.
 bool set_fault(
     platform_server& server, store_faults& faults, std::string_view name,
     const json::value& value)
@@ -154,8 +155,8 @@
     }
     json::error_code error;
     const auto number = value.to_number<double>(error);
-    constexpr double largest = 1e9;
-    if (error || number < 0 || number > largest)
+    constexpr double max_value = 1e9;
+    if (error || number < 0 || number > max_value)
     {
         return false;
     }
@@ -224,7 +225,7 @@
     if (request.method == "PUT" && request.target == "/v1/faults")
     {
         auto reply = change_faults(*server, request.body);
-        poll_store(server);
+        deliver_due_replies(server);
         co_return reply;
     }
     const auto call = platform::store_codec().decode_call(
@@ -258,7 +259,7 @@
         });
 }
 
-key_value_store& store_of(platform_server& server)
+key_value_store& platform_store(platform_server& server)
 {
     return server.store;
 }
--- a/tools/cyclamen-standin-upstream/child_calls.cpp
+++ b/tools/cyclamen-standin-upstream/child_calls.cpp
@@ -16,13 +16,13 @@
 constexpr unsigned status_bad_gateway = 502;
 
 std::vector<std::string>
-calls_of(const upstream_state& upstream, const received_request& request)
+child_paths_of(const upstream_state& upstream, const received_request& request)
 {
-    const std::string wanted = query_value(request.query, "calls");
-    return wanted.empty() ? upstream.settings.calls : split(wanted, ',');
+    const std::string requested = query_value(request.query, "calls");
+    return requested.empty() ? upstream.settings.calls : split(requested, ',');
 }
 
-// Any endpoint of the first service whose prefix fits.
+// A random endpoint of the first service whose prefix matches the path.
 std::optional<tcp::endpoint>
 direct_endpoint(upstream_state& upstream, std::string_view path)
 {
@@ -51,7 +51,8 @@
         call.target += path.find('?') == std::string::npos ? '?' : '&';
         call.target += "marker=" + marker;
     }
-    // The handle is opaque here; the node knows the rest from it.
+    // An opaque handle; the node derives the rest of the call's context from
+    // it.
     const auto handle = header_value(request.headers, "Cyclamen-Call");
     if (!handle.empty())
     {
@@ -76,7 +77,7 @@
     const std::string& path, time_point deadline)
 {
     http_result result;
-    // Through a node there is one attempt: the node does the retries.
+    // One attempt through a node, since the node retries.
     const auto direct = direct_endpoint(upstream, path);
     const std::uint32_t retries = direct ? upstream.settings.child_retries : 0;
     for (std::uint32_t attempt = 0; attempt <= retries; ++attempt)
@@ -90,7 +91,7 @@
             break;
         }
         auto& pool =
-            pool_to(upstream, endpoint ? *endpoint : *upstream.settings.node);
+            pool_for(upstream, endpoint ? *endpoint : *upstream.settings.node);
         ++upstream.counts.child_calls;
         auto call = make_call(request, path, remaining);
         result = co_await http_send(pool, std::move(call));
@@ -111,7 +112,8 @@
     {
         return outcome;
     }
-    // A refusal tells the caller when to come back; keep that.
+    // Passes on refusals and timeouts as they are, so that the caller can wait
+    // for the time in Retry-After.
     if (result.http_status == 429 || result.http_status == 503 ||
         result.http_status == 504)
     {
@@ -131,7 +133,7 @@
     upstream_state& upstream, const received_request& request,
     time_point deadline)
 {
-    for (const std::string& path : calls_of(upstream, request))
+    for (const std::string& path : child_paths_of(upstream, request))
     {
         const http_result result =
             co_await make_one_call(upstream, request, path, deadline);
--- a/tools/cyclamen-standin-upstream/control_port.cpp
+++ b/tools/cyclamen-standin-upstream/control_port.cpp
@@ -57,14 +57,15 @@
     return {200, json::serialize(object), false};
 }
 
-// Faults that act once, when they are switched.
+// Sets one boolean fault, or triggers one that acts once (`silent`, `close`,
+// `die`). Returns false when the name is unknown.
 bool set_switch(
     upstream_state& upstream, upstream_faults& faults, std::string_view name,
     bool on)
 {
     if (name == "lie")
     {
-        faults.lie = on;
+        faults.inverts_reports = on;
     }
     else if (name == "silent")
     {
@@ -86,10 +87,12 @@
     return true;
 }
 
+// Sets one numeric fault. Returns false when the name is unknown or the number
+// is out of range.
 bool set_number(upstream_faults& faults, std::string_view name, double number)
 {
-    constexpr double largest = 1e9;
-    if (number < 0 || number > largest)
+    constexpr double max_value = 1e9;
+    if (number < 0 || number > max_value)
     {
         return false;
     }
@@ -133,11 +136,11 @@
         const std::string_view key(name.data(), name.size());
         json::error_code not_number;
         const auto number = setting.to_number<double>(not_number);
-        const bool known =
+        const bool is_valid =
             setting.is_bool()
                 ? set_switch(upstream, changed, key, setting.get_bool())
                 : !not_number && set_number(changed, key, number);
-        if (!known)
+        if (!is_valid)
         {
             add_finding(
                 found, "/" + std::string(key), "unknown fault or bad value");
@@ -174,7 +177,7 @@
 }
 
 asio::awaitable<json_reply>
-serve_later(upstream_pointer upstream, json_request request)
+serve_async(upstream_pointer upstream, json_request request)
 {
     co_return serve(*upstream, request);
 }
@@ -188,7 +191,7 @@
         upstream->context.get_executor(), upstream->settings.control,
         [upstream](json_request request)
         {
-            return serve_later(upstream, std::move(request));
+            return serve_async(upstream, std::move(request));
         });
 }
 
--- a/tools/cyclamen-standin-upstream/upstream_server.cpp
+++ b/tools/cyclamen-standin-upstream/upstream_server.cpp
@@ -54,8 +54,8 @@
     return connection.number < upstream.silent_below;
 }
 
-// Holds the connection open and does nothing more on it.
-asio::awaitable<void> stay_silent()
+// Never completes, so that the connection stays open without a reply.
+asio::awaitable<void> wait_forever()
 {
     auto executor = co_await asio::this_coro::executor;
     asio::steady_timer timer(executor, time_point::max());
@@ -63,7 +63,7 @@
 }
 
 received_request
-take_head(upstream_state& upstream, const request_parser& parser)
+parse_request_head(upstream_state& upstream, const request_parser& parser)
 {
     const auto& message = parser.get();
     received_request request;
@@ -82,7 +82,7 @@
     }
     std::ostringstream head;
     head << message.base();
-    keep_received(upstream, head.str());
+    append_received(upstream, head.str());
     return request;
 }
 
@@ -105,17 +105,18 @@
         {
             co_return error;
         }
-        const std::size_t got = chunk.size() - parser.get().body().size;
-        XXH3_64bits_update(hash.get(), chunk.data(), got);
-        request.body_bytes += got;
-        const std::size_t room = kept_body_size - request.body_start.size();
-        request.body_start.append(chunk.data(), std::min(got, room));
+        const std::size_t received = chunk.size() - parser.get().body().size;
+        XXH3_64bits_update(hash.get(), chunk.data(), received);
+        request.body_bytes += received;
+        const std::size_t unused =
+            max_echoed_body_bytes - request.body_start.size();
+        request.body_start.append(chunk.data(), std::min(received, unused));
     }
     request.body_hash = XXH3_64bits_digest(hash.get());
     co_return beast::error_code();
 }
 
-// Completes when the caller has closed the connection.
+// Completes when the caller closes the connection.
 asio::awaitable<void> wait_for_close(tcp::socket& socket)
 {
     const auto [error] =
@@ -133,11 +134,11 @@
     {
         co_return;
     }
-    // Bytes of a next request: the caller is still there.
-    co_await stay_silent();
+    // Bytes of a pipelined request: the connection is still open.
+    co_await wait_forever();
 }
 
-// The bytes that large replies repeat.
+// One chunk of the fixed pattern that large replies repeat.
 const std::string& pattern_chunk()
 {
     static const std::string chunk = []
@@ -224,7 +225,7 @@
     co_return true;
 }
 
-// Serves one request; false when the connection is over.
+// Serves one request. Returns false when the connection must close.
 asio::awaitable<bool>
 serve_one(const upstream_pointer& upstream, upstream_connection& connection)
 {
@@ -240,9 +241,9 @@
     }
     if (is_silent(*upstream, connection))
     {
-        co_await stay_silent();
+        co_await wait_forever();
     }
-    received_request request = take_head(*upstream, parser);
+    received_request request = parse_request_head(*upstream, parser);
     if (const auto body_error = co_await read_body(connection, parser, request))
     {
         co_return false;
@@ -257,7 +258,7 @@
     }
     if (is_silent(*upstream, connection))
     {
-        co_await stay_silent();
+        co_await wait_forever();
     }
     const reply_plan plan = std::get<0>(std::move(ended));
     if (plan.drop)
@@ -293,7 +294,7 @@
     connection.stream.socket().shutdown(tcp::socket::shutdown_both, ignored);
 }
 
-bool takes_connection(const upstream_state& upstream)
+bool is_accepting_connections(const upstream_state& upstream)
 {
     return upstream.open_connections.size() < upstream.settings.connections &&
            now() >= upstream.faults.refuse_until;
@@ -312,7 +313,7 @@
             co_await pause.async_wait(as_result);
             continue;
         }
-        if (!takes_connection(*upstream))
+        if (!is_accepting_connections(*upstream))
         {
             ++upstream->counts.refused_connections;
             continue;
