--- a/src/adapters/node_runtime.cpp
+++ b/src/adapters/node_runtime.cpp
@@ -461,13 +461,14 @@
     return left;
 }
 
-// Waits until no request is under way, `until` is reached or `stop_now` is set.
-// Returns the number of requests left.
+// Waits until no request is under way, `until` is reached or `abort_requests`
+// is set. Returns the number of requests left.
 std::size_t wait_until_drained(
-    node_runtime& node, const std::atomic<bool>& stop_now, time_point until)
+    node_runtime& node, const std::atomic<bool>& abort_requests,
+    time_point until)
 {
     std::size_t left = count_open_requests(node);
-    while (left > 0 && !stop_now && now() < until)
+    while (left > 0 && !abort_requests && now() < until)
     {
         std::this_thread::sleep_for(stop_poll_interval);
         left = count_open_requests(node);
@@ -475,10 +476,10 @@
     return left;
 }
 
-void wait_or_stop_now(const std::atomic<bool>& stop_now, duration time)
+void wait_unless_aborted(const std::atomic<bool>& abort_requests, duration time)
 {
     const time_point until = now() + time;
-    while (!stop_now && now() < until)
+    while (!abort_requests && now() < until)
     {
         std::this_thread::sleep_for(stop_poll_interval);
     }
@@ -646,7 +647,8 @@
     return node.drain_requested;
 }
 
-stop_report stop_node(node_runtime& node, const std::atomic<bool>& stop_now)
+stop_report
+stop_node(node_runtime& node, const std::atomic<bool>& abort_requests)
 {
     record_lifecycle(node, event_kind::node_stopping, node.settings.name);
     const time_point until = now() + node.settings.stop_timeout;
@@ -654,7 +656,7 @@
     // the next one is opened to another node.
     node.services.path.draining = true;
     post_leave(node.control);
-    wait_or_stop_now(stop_now, leave_propagation_time);
+    wait_unless_aborted(abort_requests, leave_propagation_time);
     for (const auto& thread : node.threads)
     {
         asio::post(
@@ -671,9 +673,9 @@
     // The port for callers stays open until the end: a refusal gives them a
     // reason, a closed port does not.
     const time_point refusal_start = now() + (until - now()) * 2 / 5;
-    std::size_t left = wait_until_drained(node, stop_now, refusal_start);
+    std::size_t left = wait_until_drained(node, abort_requests, refusal_start);
     node.services.path.refuses_new = true;
-    left = wait_until_drained(node, stop_now, until);
+    left = wait_until_drained(node, abort_requests, until);
     record_lifecycle(
         node, event_kind::node_stopped,
         std::to_string(left) + " requests unfinished");
--- a/src/adapters/node_runtime.hpp
+++ b/src/adapters/node_runtime.hpp
@@ -63,8 +63,9 @@
 [[nodiscard]] bool stop_requested(const node_runtime& node);
 
 // Stops gracefully: announces the stop to the fleet, refuses new requests and
-// finishes those under way. The wait ends early when `stop_now` becomes true.
+// finishes those under way. The wait ends early when `abort_requests` becomes
+// true.
 [[nodiscard]] stop_report
-stop_node(node_runtime& node, const std::atomic<bool>& stop_now);
+stop_node(node_runtime& node, const std::atomic<bool>& abort_requests);
 
 } // namespace cyclamenhold
