--- a/src/core/rates/rates.cpp
+++ b/src/core/rates/rates.cpp
@@ -26,11 +26,11 @@
     case wire_rates::body::roster_answer:
         return on_roster_answer(context, from, *body.Asroster_answer());
     case wire_rates::body::pledge_request:
-        return on_pledge_request(context, from, *body.Aspledge_request());
+        return on_weight_lease_request(context, from, *body.Aspledge_request());
     case wire_rates::body::pledge_reply:
-        return on_pledge_reply(context, from, *body.Aspledge_reply());
+        return on_weight_lease_reply(context, from, *body.Aspledge_reply());
     case wire_rates::body::pledge_release:
-        return on_pledge_release(context, from, *body.Aspledge_release());
+        return on_weight_lease_release(context, from, *body.Aspledge_release());
     case wire_rates::body::loan_request:
         return on_loan_request(context, from, *body.Asloan_request());
     case wire_rates::body::loan_reply:
--- a/src/core/rates/rates_context.hpp
+++ b/src/core/rates/rates_context.hpp
@@ -67,13 +67,13 @@
 void on_removal_answer(
     rates_context& context, host_id from,
     const wire::rates::removal_answer_data& in);
-void on_pledge_request(
+void on_weight_lease_request(
     rates_context& context, host_id from,
     const wire::rates::pledge_request_data& in);
-void on_pledge_reply(
+void on_weight_lease_reply(
     rates_context& context, host_id from,
     const wire::rates::pledge_reply_data& in);
-void on_pledge_release(
+void on_weight_lease_release(
     rates_context& context, host_id from,
     const wire::rates::pledge_release_data& in);
 void on_loan_request(
--- a/src/core/rates/weight_lease_grants.cpp
+++ b/src/core/rates/weight_lease_grants.cpp
@@ -107,7 +107,7 @@
     return lowest;
 }
 
-void on_pledge_request(
+void on_weight_lease_request(
     rates_context& context, host_id from,
     const wire_rates::pledge_request_data& in)
 {
@@ -150,7 +150,7 @@
     send_rates_message(context, from, std::move(reply));
 }
 
-void on_pledge_release(
+void on_weight_lease_release(
     rates_context& context, host_id from,
     const wire_rates::pledge_release_data& in)
 {
--- a/src/core/rates/weight_leases.cpp
+++ b/src/core/rates/weight_leases.cpp
@@ -314,7 +314,7 @@
     request_weight_leases(context);
 }
 
-void on_pledge_reply(
+void on_weight_lease_reply(
     rates_context& context, host_id from,
     const wire_rates::pledge_reply_data& in)
 {
