--- a/tests/adapters/decision_log_test.cpp
+++ b/tests/adapters/decision_log_test.cpp
@@ -43,7 +43,8 @@
     refused.kind = event_kind::request_refused;
     refused.trace = {1, 2};
     refused.request_id = std::move(request);
-    refused.detail = "overloaded, not-run; route lookup, 0.50 let in";
+    refused.detail = "overloaded, not-run; route lookup, admitted share 0.50, "
+                     "failed share 0.80 of 12.0 ended";
     return refused;
 }
 
@@ -57,7 +58,8 @@
     EXPECT_EQ(lines[0].at("request"), "ab12");
     EXPECT_EQ(
         lines[0].at("detail"),
-        "overloaded, not-run; route lookup, 0.50 let in");
+        "overloaded, not-run; route lookup, admitted share 0.50, "
+        "failed share 0.80 of 12.0 ended");
 }
 
 TEST(decision_log, limits_request_lines_per_second)
