--- a/src/core/membership/membership.hpp
+++ b/src/core/membership/membership.hpp
@@ -48,7 +48,7 @@
     // Local time of the last message received from the host itself; zero if
     // none.
     time_point last_contact_at{};
-    // The configuration revision in force at the host, from its last message.
+    // The current configuration revision of the host, from its last message.
     std::uint64_t revision = 0;
     // When the current state was recorded.
     time_point changed_at{};
@@ -187,7 +187,7 @@
     std::uint64_t version = 0;
     bool leaving = false;
 
-    // The configuration revision in force at this node; set by the owner, sent
+    // The current configuration revision of this node; set by the owner, sent
     // with each message.
     std::uint64_t own_revision = 0;
     // The latest reported time at which any node read the newest revision from
--- a/src/core/node/control.hpp
+++ b/src/core/node/control.hpp
@@ -30,7 +30,7 @@
 struct control_state
 {
     membership_state membership;
-    // Also holds the configuration in force if that came from a document.
+    // Also holds the current configuration if that came from a document.
     chain_state chain;
     document_state document;
     rates_state rates;
--- a/tests/adapters/standin_upstream_test.cpp
+++ b/tests/adapters/standin_upstream_test.cpp
@@ -148,7 +148,8 @@
             checksum_text(XXH3_64bits(body.data(), body.size())));
     }
     {
-        SCOPED_TRACE("the control port tells what ran and what came");
+        SCOPED_TRACE(
+            "the control port reports the requests that ran and that arrived");
         http_call call;
         call.target = "/v1/ran";
         const auto ran =
@@ -268,8 +269,8 @@
 
 TEST(standin_upstream, announces_calls_and_leaves_through_its_node)
 {
-    // A node's loopback port that records what it is told.
-    std::vector<json_request> told;
+    // A node's loopback port that records the requests that it receives.
+    std::vector<json_request> received_requests;
     auto settings = quick_settings();
     settings.stop_time = 2s;
     upstream_fixture fixture(settings);
@@ -277,7 +278,7 @@
         fixture.context.get_executor(), any_port,
         [&](json_request request) -> asio::awaitable<json_reply>
         {
-            told.push_back(std::move(request));
+            received_requests.push_back(std::move(request));
             co_return json_reply{200, "{}", false};
         });
     ASSERT_TRUE(node.ok());
@@ -285,10 +286,10 @@
     asio::co_spawn(
         fixture.context, announce_upstream(fixture.upstream, fixture.listening),
         asio::detached);
-    const auto was_told = [&](const std::string& target)
+    const auto has_received = [&](const std::string& target)
     {
         return std::ranges::any_of(
-            told,
+            received_requests,
             [&](const json_request& request)
             {
                 return request.target == target;
@@ -297,9 +298,9 @@
     ASSERT_TRUE(fixture.run_until(
         [&]
         {
-            return was_told("/v1/upstream/announce");
+            return has_received("/v1/upstream/announce");
         }));
-    const auto announced = json::parse(told.front().body);
+    const auto announced = json::parse(received_requests.front().body);
     EXPECT_EQ(
         announced.at("endpoint").as_string(), to_string(fixture.listening));
     EXPECT_EQ(announced.at("slots").to_number<int>(), 100);
@@ -308,8 +309,8 @@
         const auto result =
             fixture.get("/a?calls=/payments/charge,/stock/check&marker=m");
         EXPECT_EQ(result.http_status, 200U);
-        EXPECT_TRUE(was_told("/payments/charge?marker=m"));
-        EXPECT_TRUE(was_told("/stock/check?marker=m"));
+        EXPECT_TRUE(has_received("/payments/charge?marker=m"));
+        EXPECT_TRUE(has_received("/stock/check?marker=m"));
     }
     {
         SCOPED_TRACE("a stop drains, leaves and ends");
@@ -321,8 +322,8 @@
             {
                 return fixture.context.stopped();
             });
-        EXPECT_TRUE(was_told("/v1/upstream/drain"));
-        EXPECT_TRUE(was_told("/v1/upstream/leave"));
+        EXPECT_TRUE(has_received("/v1/upstream/drain"));
+        EXPECT_TRUE(has_received("/v1/upstream/leave"));
         EXPECT_TRUE(fixture.context.stopped());
     }
 }
--- a/tests/core/entry_test.cpp
+++ b/tests/core/entry_test.cpp
@@ -123,7 +123,7 @@
     }
     {
         SCOPED_TRACE(
-            "then the allowance is used, and the refusal says not-run");
+            "then the allowance is used, and the refusal reports not-run");
         while (step.kind == call_step_kind::attempt)
         {
             step = call_on_attempt(
@@ -134,7 +134,7 @@
     }
 }
 
-TEST(entry, promises_only_for_requests_that_did_not_run)
+TEST(entry, reports_not_run_only_for_requests_that_did_not_run)
 {
     for (const auto& [reason, name] : enum_names<refusal>::table)
     {
--- a/tests/support/virtual_node.hpp
+++ b/tests/support/virtual_node.hpp
@@ -59,7 +59,7 @@
     std::uint64_t incarnation = 0;
     time_point down_since{};
     time_point paused_until{};
-    // Start of a pause or network cut. The other nodes have it as dead after
+    // Start of a pause or network cut. The other nodes consider it dead after
     // `detection_time`.
     time_point unreachable_since = time_point::max();
     random_source random;
