--- a/cmake/static_archives.cmake
+++ b/cmake/static_archives.cmake
@@ -1,5 +1,5 @@
-# Makes imported shared libraries and all that they need link as the archives
-# that their packages bring along.
+# Replaces imported shared libraries and their dependencies by the static
+# archives of the same packages.
 
 # link_archives(TARGET...)
 function(link_archives)
@@ -28,7 +28,7 @@
   endforeach()
 endfunction()
 
-# link_archive_of_package(TARGET LIBRARY): for a target made by pkg-config.
+# link_archive_of_package(TARGET LIBRARY): for a target that pkg-config created.
 function(link_archive_of_package target library)
   find_library(archive_${library} lib${library}.a REQUIRED)
   set_target_properties(${target} PROPERTIES
