--- a/src/adapters/caller_session.cpp
+++ b/src/adapters/caller_session.cpp
@@ -108,8 +108,8 @@
     }
     auto& parser = *caller->parser;
     auto& body = parser.get().body();
-    // The first read has room for the declared length, or default_read_bytes
-    // without one; later reads double the room.
+    // The buffer starts at the declared length, or at default_read_bytes
+    // without one, and doubles for each later read.
     constexpr std::size_t default_read_bytes = 4 * 1024;
     const std::size_t declared_bytes = std::min<std::uint64_t>(
         parser.content_length().value_or(default_read_bytes), max_chunk_bytes);
@@ -117,17 +117,17 @@
     while (!parser.is_done() && caller->prefix.size() < max_chunk_bytes)
     {
         const std::size_t filled = caller->prefix.size();
-        const std::size_t room =
+        const std::size_t buffer_bytes =
             std::min(max_chunk_bytes, std::max(declared_bytes + 1, 2 * filled));
-        caller->prefix.resize(room);
+        caller->prefix.resize(buffer_bytes);
         body.data = caller->prefix.data() + filled;
-        body.size = room - filled;
+        body.size = buffer_bytes - filled;
         caller->stream.expires_after(
             caller->thread.services.limits.body_stall_timeout);
         const auto [error, count] = co_await http::async_read_some(
             caller->stream, caller->buffer, parser,
             asio::as_tuple(asio::use_awaitable));
-        caller->prefix.resize(room - body.size);
+        caller->prefix.resize(buffer_bytes - body.size);
         if (error && error != http::error::need_buffer)
         {
             if (error == http::error::body_limit)
--- a/tests/core/claims_test.cpp
+++ b/tests/core/claims_test.cpp
@@ -34,10 +34,10 @@
         fleet->run_for(3s);
     }
 
-    virtual_node& node(std::size_t number)
+    virtual_node& node(std::size_t index)
     {
         auto entry = fleet->nodes.begin();
-        std::advance(entry, number);
+        std::advance(entry, index);
         return *entry->second;
     }
 
--- a/tests/core/rates_test.cpp
+++ b/tests/core/rates_test.cpp
@@ -43,10 +43,10 @@
     fleet.run_for(1s);
 }
 
-virtual_node& node_at(virtual_fleet& fleet, std::size_t number)
+virtual_node& node_at(virtual_fleet& fleet, std::size_t index)
 {
     auto entry = fleet.nodes.begin();
-    std::advance(entry, number % fleet.nodes.size());
+    std::advance(entry, index % fleet.nodes.size());
     return *entry->second;
 }
 
--- a/tests/core/retries_test.cpp
+++ b/tests/core/retries_test.cpp
@@ -10,9 +10,9 @@
 const time_point start_time{1000s};
 constexpr std::size_t depth_limit = 8;
 
-host_id host_number(std::size_t number)
+host_id host_number(std::size_t index)
 {
-    return make_host_id(0x0a000001, static_cast<std::uint16_t>(number + 1));
+    return make_host_id(0x0a000001, static_cast<std::uint16_t>(index + 1));
 }
 
 // Configures a node with routes to `depth_limit` services, each with three
