--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -164,8 +164,8 @@
         });
 }
 
-// The maximum of platform calls in one second during the 30 s after an outage
-// of ten minutes.
+// Returns the largest number of platform calls in one second during the 30 s
+// after an outage of ten minutes.
 double measure_calls_after_outage(fake_fleet& fleet)
 {
     fleet.platform.faults.down = true;
@@ -261,8 +261,8 @@
         static_cast<double>(after.messages - before.messages) / node_seconds;
     result["platform_calls_a_second"] = calls / to_seconds(steady_time);
     result["platform_writes_a_second"] = writes / to_seconds(steady_time);
-    // Every running node receives each suspicion, so that the count of events
-    // is divided by the number of nodes.
+    // Every running node records an event for each suspicion, so the count of
+    // events is divided by the number of nodes.
     const double node_hours =
         running * to_seconds(warm_up_time + steady_time) / 3600.0;
     result["suspicions_a_node_hour"] =
--- a/src/adapters/control_loop.cpp
+++ b/src/adapters/control_loop.cpp
@@ -11,7 +11,7 @@
 
 void execute_actions(control_loop& loop, control_actions actions);
 
-// The processor time of this thread.
+// Processor time that this thread has used.
 std::uint64_t thread_time_us()
 {
     timespec time{};
@@ -37,7 +37,8 @@
     loop.services.path.routing.publish(std::move(next));
     if (loop.fleet_retry_slack > 0)
     {
-        // Half, because retried requests make calls whose retries add to these.
+        // Half of it, because the nested calls of a retried request may be
+        // retried as well.
         const double hosts =
             static_cast<double>(loop.state.membership.members.size()) + 1.0;
         set_max_service_tokens(
@@ -57,8 +58,8 @@
         build_request_tables(*loop.published_configuration)));
 }
 
-// Publishes until when keys are accepted unless the configuration is confirmed
-// again. Records an event when keys become stale or fresh.
+// Publishes the time at which keys become stale unless the configuration is
+// confirmed again before. Records an event when keys become stale or fresh.
 void publish_key_freshness(control_loop& loop)
 {
     if (loop.max_key_staleness == duration::zero())
@@ -351,7 +352,7 @@
         }
     };
     // Upstream incarnations start at the node's own, so that they exceed those
-    // that an earlier node process on this host has counted.
+    // that an earlier node process on this host assigned.
     loop.upstream.incarnation = loop.services.self_incarnation;
     asio::co_spawn(loop.io, run_datagrams(*loop.datagrams), asio::detached);
     asio::post(
--- a/src/adapters/peer_streams.cpp
+++ b/src/adapters/peer_streams.cpp
@@ -24,7 +24,8 @@
     link.streams.erase(found);
 }
 
-// Waits until `size` bytes may be sent. False when the stream has ended.
+// Waits until `size` bytes may be sent. Returns false when the stream or the
+// link has ended.
 asio::awaitable<bool>
 wait_for_credit(peer_link_ptr link, peer_stream_ptr stream, std::size_t size)
 {
@@ -91,7 +92,8 @@
     }
 }
 
-// Grants the sender of a body credit for the bytes consumed here.
+// Grants credit to the sender of a body for the bytes that this node has
+// consumed.
 void grant_consumed(
     const peer_link_ptr& link, const peer_stream_ptr& stream, std::uint64_t id,
     std::size_t bytes)
--- a/src/adapters/upstream_client.cpp
+++ b/src/adapters/upstream_client.cpp
@@ -66,7 +66,8 @@
     {
         message.insert(name, value);
     }
-    const auto left = to_milliseconds(call.work->context.deadline - now());
+    const auto remaining_ms =
+        to_milliseconds(call.work->context.deadline - now());
     const header_names& names = *call.names;
     if (!names.forwards_host)
     {
@@ -82,7 +83,8 @@
         }
     };
     set(names.call_handle, call.handle);
-    set(names.remaining, std::to_string(std::max<std::int64_t>(0, left)));
+    set(names.remaining,
+        std::to_string(std::max<std::int64_t>(0, remaining_ms)));
     set(names.trace, to_string(call.work->context.trace));
     set(names.upstream_id, call.upstream_id);
 }
@@ -154,11 +156,11 @@
     while (true)
     {
         call.connection->stream.expires_after(call.body_stall_timeout);
-        const auto failed =
+        const auto write_error =
             co_await write_piece(call, serializer, request, chunk);
-        if (failed)
+        if (write_error)
         {
-            co_return failed;
+            co_return write_error;
         }
         if (chunk.last)
         {
@@ -194,12 +196,12 @@
 
 // Reads the next piece of the reply's body.
 asio::awaitable<beast::error_code> read_piece(
-    upstream_call& call, response_parser& parser, piece_buffer& space,
+    upstream_call& call, response_parser& parser, piece_buffer& read_buffer,
     std::string& bytes)
 {
     auto& body = parser.get().body();
-    body.data = space.data();
-    body.size = space.size();
+    body.data = read_buffer.data();
+    body.size = read_buffer.size();
     auto [error, count] = co_await http::async_read(
         call.connection->stream, call.connection->buffer, parser,
         asio::as_tuple(asio::use_awaitable));
@@ -207,7 +209,7 @@
     {
         error = {};
     }
-    bytes.assign(space.data(), space.size() - body.size);
+    bytes.assign(read_buffer.data(), read_buffer.size() - body.size);
     co_return error;
 }
 
@@ -237,11 +239,12 @@
 asio::awaitable<beast::error_code>
 skip_body(upstream_call& call, response_parser& parser)
 {
-    auto space = std::make_unique_for_overwrite<piece_buffer>();
-    std::string dropped;
+    auto read_buffer = std::make_unique_for_overwrite<piece_buffer>();
+    std::string discarded;
     while (!parser.is_done())
     {
-        const auto error = co_await read_piece(call, parser, *space, dropped);
+        const auto error =
+            co_await read_piece(call, parser, *read_buffer, discarded);
         if (error)
         {
             co_return error;
@@ -349,21 +352,22 @@
     reply_event event = make_head_event(call, *parser);
     const unsigned status = parser->get().result_int();
     const bool bodyless = is_bodyless(call, status);
-    std::unique_ptr<piece_buffer> space;
+    std::unique_ptr<piece_buffer> read_buffer;
     while (true)
     {
         if (!bodyless && !parser->is_done())
         {
-            if (!space)
+            if (!read_buffer)
             {
-                space = std::make_unique_for_overwrite<piece_buffer>();
+                read_buffer = std::make_unique_for_overwrite<piece_buffer>();
             }
             stream.expires_after(call.body_stall_timeout);
-            const auto failed =
-                co_await read_piece(call, *parser, *space, event.bytes);
-            if (failed)
+            const auto read_error =
+                co_await read_piece(call, *parser, *read_buffer, event.bytes);
+            if (read_error)
             {
-                co_return fail_call(call, failed, failure_after(failed));
+                co_return fail_call(
+                    call, read_error, failure_after(read_error));
             }
         }
         event.last = bodyless || parser->is_done();
@@ -410,17 +414,18 @@
                     connection->stream.close();
                 });
         });
-    auto [cut, chunk] = co_await call.work->body.async_receive(
+    auto [receive_error, chunk] = co_await call.work->body.async_receive(
         asio::as_tuple(asio::use_awaitable));
-    if (cut)
+    if (receive_error)
     {
-        co_return fail_call(call, cut, {refusal::cancelled, outcome::not_run});
+        co_return fail_call(
+            call, receive_error, {refusal::cancelled, outcome::not_run});
     }
-    const auto refused = co_await connect(call);
-    if (refused)
+    const auto connect_error = co_await connect(call);
+    if (connect_error)
     {
         co_return fail_call(
-            call, refused, {refusal::upstream_failed, outcome::not_run});
+            call, connect_error, {refusal::upstream_failed, outcome::not_run});
     }
     call.work->unsent = false;
     call.connection->stream.expires_at(call.work->context.deadline);
--- a/src/core/configuration/document_source.cpp
+++ b/src/core/configuration/document_source.cpp
@@ -26,23 +26,23 @@
 
 void emit(control_actions& actions, event_kind kind, std::string detail)
 {
-    event happened;
-    happened.kind = kind;
-    happened.detail = std::move(detail);
-    actions.events.push_back(std::move(happened));
+    event new_event;
+    new_event.kind = kind;
+    new_event.detail = std::move(detail);
+    actions.events.push_back(std::move(new_event));
 }
 
 void record_platform_status(
-    document_state& state, bool up, std::string detail,
+    document_state& state, bool is_available, std::string detail,
     control_actions& actions)
 {
-    if (state.is_platform_available != up)
+    if (state.is_platform_available != is_available)
     {
-        state.is_platform_available = up;
+        state.is_platform_available = is_available;
         emit(
             actions,
-            up ? event_kind::platform_available
-               : event_kind::platform_unavailable,
+            is_available ? event_kind::platform_available
+                         : event_kind::platform_unavailable,
             std::move(detail));
     }
 }
@@ -105,17 +105,17 @@
     document_state& state, chain_state& chain, std::string_view text,
     const std::string& from, time_point now, control_actions& actions)
 {
-    auto read = state.settings.read(text, state.settings.fleet_secret);
-    if (!read.ok())
+    auto parsed = state.settings.read(text, state.settings.fleet_secret);
+    if (!parsed.ok())
     {
         emit(
             actions, event_kind::configuration_rejected,
-            "from " + from + ": " + std::string(read.status().message()));
+            "from " + from + ": " + std::string(parsed.status().message()));
         return false;
     }
-    if (read->revision > chain.current->revision)
+    if (parsed->revision > chain.current->revision)
     {
-        set_current(state, chain, *std::move(read), text, from, now, actions);
+        set_current(state, chain, *std::move(parsed), text, from, now, actions);
     }
     return true;
 }
@@ -151,7 +151,7 @@
 }
 
 // Applies the newest document of a reply that can be parsed. Returns false if
-// there is none and this node has no configuration from before.
+// there is none and this node has no earlier configuration.
 bool apply_entries(
     document_state& state, chain_state& chain, const platform_reply& reply,
     time_point now, control_actions& actions)
@@ -232,7 +232,8 @@
     document_state& state, chain_state& chain, host_id from,
     const chain_message& message, time_point now, control_actions& actions)
 {
-    // Only parts that this node has pulled, which bounds its memory.
+    // Only parts that this node has requested are accepted, which bounds its
+    // memory.
     if (from != state.pull.from ||
         message.snapshot.revision <= chain.current->revision ||
         message.snapshot.parts > max_snapshot_parts)
@@ -292,11 +293,11 @@
     const auto decoded = decode_chain_message(message.payload);
     if (!decoded.has_value())
     {
-        event happened;
-        happened.kind = event_kind::bad_input;
-        happened.peer = message.from;
-        happened.detail = "configuration message";
-        actions.events.push_back(std::move(happened));
+        event new_event;
+        new_event.kind = event_kind::bad_input;
+        new_event.peer = message.from;
+        new_event.detail = "configuration message";
+        actions.events.push_back(std::move(new_event));
         return;
     }
     if (decoded->kind == message_body::pull)
--- a/src/core/rates/loans.cpp
+++ b/src/core/rates/loans.cpp
@@ -14,7 +14,7 @@
 namespace wire_rates = wire::rates;
 
 constexpr duration demand_window = 100ms;
-// A host requests loans for its expected arrivals in this time.
+// A host requests loans for the arrivals that it expects within this time.
 constexpr duration demand_horizon = 100ms;
 constexpr duration request_timeout = 150ms;
 constexpr duration report_interval = 20ms;
--- a/src/core/rates/remote_loans.cpp
+++ b/src/core/rates/remote_loans.cpp
@@ -12,7 +12,6 @@
 
 namespace wire_rates = wire::rates;
 
-// Tokens.
 constexpr double min_requested_tokens = 0.01;
 constexpr duration remote_timeout = 300ms;
 constexpr duration request_interval = 10ms;
--- a/src/core/request/call.cpp
+++ b/src/core/request/call.cpp
@@ -15,7 +15,8 @@
 {
 
 constexpr unsigned first_server_error = 500;
-// A request is refused after this many nodes refused it before their upstream.
+// After at most this many node refusals, a request is sent to another upstream
+// without taking a retry.
 constexpr std::uint32_t max_node_refusals = 2;
 
 call_step refuse(
@@ -206,8 +207,8 @@
                : result.status;
 }
 
-// Certain only when this node sent nothing, or when the upstream's node
-// reports it.
+// True only when this node sent nothing, or when the upstream's node reports
+// that the request has not run.
 bool has_not_run(const attempt_result& result)
 {
     return !result.sent || (result.status == attempt_status::refused &&
@@ -242,7 +243,7 @@
     call.context.retry_allowance += returned;
 }
 
-// Whether the node beside the upstream refused the request. No upstream has
+// True when the node at the upstream refused the request. No upstream has
 // received it, so it may be sent to another without being counted as a retry.
 bool is_node_refusal(const attempt_result& result)
 {
--- a/tests/support/virtual_report.hpp
+++ b/tests/support/virtual_report.hpp
@@ -161,7 +161,7 @@
 }
 
 // Seconds from the trigger's end until the goodput over three windows is at
-// least 95% of the mean before the trigger, at two successive windows.
+// least 95% of the mean before the trigger, in two successive windows.
 [[nodiscard]] inline double
 recovery_of(const scenario_model& scenario, const virtual_result& result)
 {
@@ -187,13 +187,15 @@
     const double normal = before / (start - warm_up) * window;
     const int last =
         static_cast<int>((to_seconds(scenario.length) - end) / window);
-    int good = 0;
+    int recovered_count = 0;
     for (int i = 0; i < last; ++i)
     {
         // The sum of three windows reduces the Poisson noise of a single one.
-        const double three = windows[i] + windows[i + 1] + windows[i + 2];
-        good = three >= 3 * 0.95 * normal ? good + 1 : 0;
-        if (good == 2)
+        const double sum_of_three =
+            windows[i] + windows[i + 1] + windows[i + 2];
+        recovered_count =
+            sum_of_three >= 3 * 0.95 * normal ? recovered_count + 1 : 0;
+        if (recovered_count == 2)
         {
             return (i - 1) * window;
         }
--- a/tests/support/virtual_run.hpp
+++ b/tests/support/virtual_run.hpp
@@ -94,7 +94,8 @@
         });
 }
 
-// Poisson arrivals at the larger of the two rates, thinned to the current one.
+// Schedules the next request. Arrivals are a Poisson process at the larger of
+// the normal rate and that during the trigger, thinned to the current rate.
 inline void
 schedule_arrival(call_fleet& fleet, std::size_t route, std::size_t workspace)
 {
--- a/tools/cyclamen-standin-upstream/work.cpp
+++ b/tools/cyclamen-standin-upstream/work.cpp
@@ -21,7 +21,7 @@
 namespace
 {
 
-std::optional<std::uint64_t> parse_size(std::string_view text)
+std::optional<std::uint64_t> parse_number(std::string_view text)
 {
     std::uint64_t value = 0;
     const char* const end = text.data() + text.size();
@@ -33,17 +33,19 @@
     return value;
 }
 
-// The deadline of the request; 24 h from now without the header.
+// The deadline from the request's header, at most 24 h from now; 24 h from now
+// without the header.
 time_point deadline_of(const received_request& request)
 {
     const auto remaining =
-        parse_size(header_value(request.headers, "Cyclamen-Deadline-Ms"));
-    constexpr std::uint64_t longest_ms = 24ULL * 3600 * 1000;
+        parse_number(header_value(request.headers, "Cyclamen-Deadline-Ms"));
+    constexpr std::uint64_t max_remaining_ms = 24ULL * 3600 * 1000;
     if (!remaining)
     {
-        return now() + std::chrono::milliseconds(longest_ms);
+        return now() + std::chrono::milliseconds(max_remaining_ms);
     }
-    return now() + std::chrono::milliseconds(std::min(*remaining, longest_ms));
+    return now() +
+           std::chrono::milliseconds(std::min(*remaining, max_remaining_ms));
 }
 
 std::string marker_of(const received_request& request)
@@ -158,7 +160,7 @@
     plan.headers.push_back(
         {"Cyclamen-Request-Bytes", std::to_string(request.body_bytes)});
     const auto requested =
-        parse_size(query_value(request.query, "reply_bytes"));
+        parse_number(query_value(request.query, "reply_bytes"));
     if (requested)
     {
         plan.pattern_bytes = std::min(*requested, max_reply_bytes);
